--- a/trouttrack_core/src/claims/mod.rs
+++ b/trouttrack_core/src/claims/mod.rs
@@ -1,18 +1,20 @@
-//! Callers' idempotency keys, claimed at most once across VMs.
+//! Idempotency keys of callers, claimed at most once across VMs.
 //!
-//! Keys are hashed to shards. A shard's claims lie in numbered buckets in a
-//! ring of slots, each slot one object of the platform's service that is never
-//! deleted. Bucket `n` lies in slot `n` modulo [`SLOTS`]. Claims are written
-//! only into the last bucket, by conditional update; a bucket is sealed by such
-//! an update before the next one is made. So there is one place at which a
-//! claim can be made, whoever makes it: two processes that act for the same
-//! shard cannot both succeed on the same version, and one that slept, however
-//! long, and wakes up finds the version moved. (With buckets that are deleted
-//! when they are old, a process that slept past that could make one anew: a
-//! property test found it.)
+//! Keys are hashed to shards. The claims of a shard are stored in numbered
+//! buckets in a ring of slots. Each slot is one object in the platform's store
+//! and is never deleted. Bucket `n` is stored in slot `n` modulo [`SLOTS`].
+//! Claims are appended only to the last bucket, by conditional update, and a
+//! bucket is sealed by such an update before the next one is created. Claims
+//! of a shard are therefore serialised, whichever process makes them: two
+//! processes that write to the same shard cannot both succeed against the same
+//! version, and a process that resumes after a suspension of any length finds
+//! that the version has changed. Slots are reused rather than deleted because a
+//! suspended process could otherwise recreate a bucket that had expired and
+//! been deleted in the meantime.
 //!
-//! Which process acts for a shard is chosen by [`owner`] among the live ones.
-//! That is for speed (many claims share one write); safety does not need it.
+//! [`owner`] selects the process that writes claims of a shard among the live
+//! processes, so that many claims share one write. Correctness does not depend
+//! on it.
 
 mod owner;
 mod shard;
--- a/trouttrack_core/src/claims/owner.rs
+++ b/trouttrack_core/src/claims/owner.rs
@@ -1,9 +1,9 @@
-//! Who acts for a shard: rendezvous hashing over live processes.
+//! Assignment of shards to live processes by rendezvous hashing.
 
 use super::shard::{KeyHash, SHARDS};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The shard of a key.
+/// Returns the shard of a key.
 ///
 /// # Examples
 ///
@@ -16,9 +16,9 @@
     (xxh3_64_with_seed(key.as_bytes(), 0) % u64::from(SHARDS)) as u32
 }
 
-/// The process that acts for a shard among those alive; each process finds the
-/// same one if it knows of the same ones. A process that comes or goes moves
-/// only its own share of the shards.
+/// Returns the owner of a shard among the live processes. Processes with the same
+/// view of the membership agree on the owner. When a process joins or leaves, only
+/// its own share of the shards is reassigned.
 ///
 /// # Examples
 ///
--- a/trouttrack_core/src/claims/shard.rs
+++ b/trouttrack_core/src/claims/shard.rs
@@ -1,4 +1,4 @@
-//! One shard's claims, and what to write next.
+//! The claims of one shard, and the writes that add to them.
 
 use crate::RequestId;
 use serde::{Deserialize, Serialize};
@@ -7,21 +7,22 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_128;
 
-/// Shards of the key space. Few, so that claims share writes: the platform's
-/// writes grow with the shards, not with the claims.
+/// Number of shards of the key space. Kept low so that many claims share one
+/// write: the write rate on the store grows with the shards, not with the claims.
 pub const SHARDS: u32 = 8;
 
-/// Hash of an organisation and its key, in hex.
+/// Hash of an organisation and its idempotency key, in hexadecimal.
 pub type KeyHash = String;
-/// Place of a bucket in its shard's sequence.
+/// Position of a bucket in the sequence of its shard.
 pub type BucketNumber = u64;
-/// Place of an object in its shard's ring.
+/// Position of an object in the ring of its shard.
 pub type Slot = u64;
 
-/// Slots of a shard's ring. All processes of a fleet must agree on it.
+/// Number of slots in the ring of a shard. Must be the same in all processes of a fleet.
 pub const SLOTS: Slot = 2048;
 
-/// Hashes a key; equal keys of different organisations differ.
+/// Hashes an idempotency key together with its organisation, so that equal keys of different
+/// organisations have different hashes.
 ///
 /// # Examples
 ///
@@ -35,83 +36,83 @@
     format!("{:032x}", xxh3_128(text.as_bytes()))
 }
 
-/// One claim.
+/// A claim of an idempotency key by a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The key.
+    /// Hash of the key.
     pub key: KeyHash,
-    /// The request that claims it.
+    /// The request that claims the key.
     pub request: RequestId,
     /// The gateway that serves the request.
     pub gateway: String,
 }
 
-/// A bucket, as it is stored.
+/// A bucket as stored in a slot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bucket {
-    /// Its number; a slot holds one bucket after another.
+    /// Number of the bucket; successive buckets reuse the same slot.
     pub number: BucketNumber,
-    /// When it was made, since 1970 on the maker's clock.
+    /// Creation time since the Unix epoch, on the clock of the process that created it.
     pub made: Duration,
-    /// Whether it takes no more claims.
+    /// Whether the bucket accepts no more claims.
     pub sealed: bool,
-    /// Its claims, oldest first. A later claim of a key replaces an earlier.
+    /// Claims, oldest first. A later claim of a key replaces an earlier one.
     pub claims: Vec<Claim>,
 }
 
-/// When a bucket is sealed and how long claims are remembered.
+/// Sizes and retention of a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShardLimits {
-    /// Claims in a bucket; each write carries the whole bucket.
-    pub bucket_claims: usize,
+    /// Number of claims at which a bucket is sealed. Every write contains the whole bucket.
+    pub max_bucket_claims: usize,
     /// Age at which a bucket is sealed.
-    pub bucket_age: Duration,
-    /// How long a claim is remembered at least.
-    pub remembered: Duration,
-    /// Slots of the ring.
+    pub max_bucket_age: Duration,
+    /// Minimum retention of a claim.
+    pub retention: Duration,
+    /// Number of slots in the ring.
     pub slots: Slot,
 }
 
 impl Default for ShardLimits {
     fn default() -> Self {
         Self {
-            bucket_claims: 500,
-            bucket_age: Duration::from_secs(60),
-            remembered: Duration::from_secs(900),
+            max_bucket_claims: 500,
+            max_bucket_age: Duration::from_secs(60),
+            retention: Duration::from_secs(900),
             slots: SLOTS,
         }
     }
 }
 
-/// What became of a claim.
+/// The result of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decided {
-    /// It is this request's, once the planned write is done.
+    /// The key belongs to this request once the planned write has succeeded.
     Ours,
-    /// It was claimed before.
+    /// The key was claimed earlier, by this claim.
     Known(Claim),
-    /// The ring is full of claims that must still be remembered.
+    /// Every slot of the ring contains claims within their retention period.
     NoRoom,
 }
 
-/// The write that makes a batch of claims.
+/// A conditional write that stores a batch of claims.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
     /// The slot to write.
     pub slot: Slot,
-    /// The version that it must have; `None` if it must not exist.
+    /// Expected version of the slot; `None` if the slot must not exist.
     pub version: Option<u64>,
-    /// Its new content.
+    /// New content of the slot.
     pub bucket: Bucket,
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct CachedSlot {
     version: u64,
     bucket: Bucket,
 }
 
-/// A shard as one process knows it.
+/// One process's view of a shard.
 ///
 /// # Examples
 ///
@@ -130,24 +131,25 @@
 #[derive(Clone, Debug)]
 pub struct ClaimShard {
     limits: ShardLimits,
-    slots: BTreeMap<Slot, Held>,
-    by_key: HashMap<u128, Place>,
+    slots: BTreeMap<Slot, CachedSlot>,
+    by_key: HashMap<u128, ClaimLocation>,
 }
 
-/// Where a claim stands; each is held once.
+/// Location of a claim in the cached slots. The index refers to the claim by location so that
+/// each claim is kept in memory only once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Place {
+struct ClaimLocation {
     slot: Slot,
     index: usize,
 }
 
-/// A key's hash as a number.
-fn id(key: &str) -> u128 {
+/// Converts the hash of a key to a number.
+fn numeric_hash(key: &str) -> u128 {
     u128::from_str_radix(key, 16).unwrap_or_else(|_| xxh3_128(key.as_bytes()))
 }
 
 impl ClaimShard {
-    /// A shard of which nothing is known.
+    /// Creates a view of a shard with no cached slots.
     #[must_use]
     pub fn new(limits: ShardLimits) -> Self {
         Self {
@@ -157,71 +159,80 @@
         }
     }
 
-    /// Takes in a slot as it was read. Claims of the bucket that it held
-    /// before are forgotten, unless they stand in the new one.
+    /// Updates a slot with content that was read from the store. Claims of the
+    /// slot's previous bucket are dropped unless the new bucket contains them.
     pub fn read(&mut self, slot: Slot, version: u64, bucket: Bucket) {
         if self.version(slot) >= version {
             return;
         }
-        if let Some(before) = self.slots.remove(&slot) {
-            for (index, claim) in before.bucket.claims.iter().enumerate() {
-                let here = Place { slot, index };
-                if self.by_key.get(&id(&claim.key)) == Some(&here) {
-                    self.by_key.remove(&id(&claim.key));
+        if let Some(previous) = self.slots.remove(&slot) {
+            for (index, claim) in previous.bucket.claims.iter().enumerate() {
+                let location = ClaimLocation { slot, index };
+                if self.by_key.get(&numeric_hash(&claim.key)) == Some(&location) {
+                    self.by_key.remove(&numeric_hash(&claim.key));
                 }
             }
         }
         for (index, claim) in bucket.claims.iter().enumerate() {
-            self.index(id(&claim.key), bucket.number, Place { slot, index });
+            self.index(
+                numeric_hash(&claim.key),
+                bucket.number,
+                ClaimLocation { slot, index },
+            );
         }
-        self.slots.insert(slot, Held { version, bucket });
+        self.slots.insert(slot, CachedSlot { version, bucket });
     }
 
-    /// Notes where a key's claim stands; a later bucket's claim stands over an
-    /// earlier one's, in whatever order they are read.
-    fn index(&mut self, key: u128, number: BucketNumber, place: Place) {
+    /// Indexes the claim of a key. A claim in a later bucket takes precedence over
+    /// one in an earlier bucket, in whatever order the buckets are read.
+    fn index(&mut self, key: u128, number: BucketNumber, location: ClaimLocation) {
         let known = self.by_key.get(&key).and_then(|p| self.slots.get(&p.slot));
-        if known.is_none_or(|held| held.bucket.number <= number) {
-            self.by_key.insert(key, place);
+        if known.is_none_or(|cached| cached.bucket.number <= number) {
+            self.by_key.insert(key, location);
         }
     }
 
-    /// The version of a slot that is known; 0 if it is not.
+    /// Returns the cached version of a slot, or 0 if the slot has not been read.
     #[must_use]
     pub fn version(&self, slot: Slot) -> u64 {
         self.slots.get(&slot).map_or(0, |h| h.version)
     }
 
-    /// The claim of a key, if there is one.
+    /// Returns the claim of a key.
     #[must_use]
     pub fn claim(&self, key: &str) -> Option<&Claim> {
-        let place = self.by_key.get(&id(key))?;
-        self.slots.get(&place.slot)?.bucket.claims.get(place.index)
+        let location = self.by_key.get(&numeric_hash(key))?;
+        self.slots
+            .get(&location.slot)?
+            .bucket
+            .claims
+            .get(location.index)
     }
 
-    /// Claims that are known.
+    /// Returns the number of known claims.
     #[must_use]
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Whether no claim is known.
+    /// Returns whether no claim is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
 
-    /// Decides on a batch, in order, and says what to write. Claims decided as
-    /// [`Decided::Ours`] are made only when the write is done.
+    /// Decides on a batch of claims in order and returns the write that stores
+    /// them. Claims decided as [`Decided::Ours`] take effect only when the write
+    /// has succeeded.
     #[must_use]
-    pub fn plan(&self, now: Duration, asked: &[Claim]) -> (Vec<Decided>, Option<Plan>) {
+    pub fn plan(&self, now: Duration, batch: &[Claim]) -> (Vec<Decided>, Option<Plan>) {
         let mut ours: HashMap<&str, &Claim> = HashMap::new();
         let mut new: Vec<Claim> = Vec::new();
-        let mut decided = Vec::with_capacity(asked.len());
-        for claim in asked {
+        let mut decided = Vec::with_capacity(batch.len());
+        for claim in batch {
             let known = self.claim(&claim.key);
             match known.or_else(|| ours.get(claim.key.as_str()).copied()) {
-                // The same request asks again after a lost reply.
+                // The request retries its claim, for example after a lost reply.
                 Some(known) if known.request == claim.request => decided.push(Decided::Ours),
                 Some(known) => decided.push(Decided::Known(known.clone())),
                 None => {
@@ -243,8 +254,9 @@
         (decided, plan)
     }
 
-    /// The write that replaces a claim whose request was given up before it
-    /// was handed over, as its own gateway has confirmed.
+    /// Returns the write that replaces a claim whose request was abandoned before
+    /// dispatch, as confirmed by the gateway that served it. Returns `None` if
+    /// `given_up` is not the current claim of the key, or if the ring is full.
     #[must_use]
     pub fn take_over(&self, now: Duration, given_up: &Claim, claim: &Claim) -> Option<Plan> {
         let known = self.claim(&claim.key)?;
@@ -254,20 +266,20 @@
         self.append(now, vec![claim.clone()])
     }
 
-    /// Appends to the open bucket, and seals it if it is full or old; or makes
-    /// the next one in its slot.
+    /// Appends claims to the open bucket, and seals it if it is full or too old.
+    /// If no bucket is open, creates the next one in its slot.
     fn append(&self, now: Duration, claims: Vec<Claim>) -> Option<Plan> {
         let last = self.slots.iter().max_by_key(|(_, h)| h.bucket.number);
         match last {
-            Some((slot, held)) if !held.bucket.sealed => {
-                let mut bucket = held.bucket.clone();
+            Some((slot, cached)) if !cached.bucket.sealed => {
+                let mut bucket = cached.bucket.clone();
                 bucket.claims.extend(claims);
-                let full = bucket.claims.len() >= self.limits.bucket_claims;
-                let old = now.saturating_sub(bucket.made) >= self.limits.bucket_age;
+                let full = bucket.claims.len() >= self.limits.max_bucket_claims;
+                let old = now.saturating_sub(bucket.made) >= self.limits.max_bucket_age;
                 bucket.sealed = full || old;
                 Some(Plan {
                     slot: *slot,
-                    version: Some(held.version),
+                    version: Some(cached.version),
                     bucket,
                 })
             }
@@ -277,14 +289,14 @@
 
     fn next_bucket(&self, now: Duration, number: BucketNumber, claims: Vec<Claim>) -> Option<Plan> {
         let slot = number % self.limits.slots;
-        let before = self.slots.get(&slot);
-        let kept = self.limits.bucket_age + self.limits.remembered;
-        if before.is_some_and(|h| now.saturating_sub(h.bucket.made) <= kept) {
+        let previous = self.slots.get(&slot);
+        let kept = self.limits.max_bucket_age + self.limits.retention;
+        if previous.is_some_and(|h| now.saturating_sub(h.bucket.made) <= kept) {
             return None;
         }
         Some(Plan {
             slot,
-            version: before.map(|h| h.version),
+            version: previous.map(|h| h.version),
             bucket: Bucket {
                 number,
                 made: now,
@@ -294,7 +306,7 @@
         })
     }
 
-    /// The planned write was done and made this version.
+    /// Records that a planned write has succeeded and produced `version`.
     pub fn written(&mut self, plan: &Plan, version: u64) {
         self.read(plan.slot, version, plan.bucket.clone());
     }
--- a/trouttrack_core/src/debug_asserts.rs
+++ b/trouttrack_core/src/debug_asserts.rs
@@ -1,16 +1,16 @@
-//! Invariants, checked in debug builds only.
+//! Invariant checks for debug builds.
 
 use crate::Outcome;
 
-/// A request ends once; a second end must state the same outcome.
+/// Checks that a request ends only once; a repeated end must report the same outcome.
 pub(crate) fn assert_ended_once(before: Option<Outcome>, now: Outcome) {
     debug_assert!(
         before.is_none_or(|b| b == now),
-        "a request that ended as {before:?} ended again as {now:?}"
+        "request already ended with outcome {before:?}; got second outcome {now:?}"
     );
 }
 
-/// A count that goes down was above zero.
+/// Checks that a count is positive before it is decremented.
 pub(crate) fn assert_positive(count: usize, what: &str) {
-    debug_assert!(count > 0, "{what} would fall below zero");
+    debug_assert!(count > 0, "{what} is zero and cannot be decremented");
 }
--- a/trouttrack_core/src/fleet/mod.rs
+++ b/trouttrack_core/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet's configuration as requests meet it: routes, services, keys.
+//! Fleet configuration that applies to requests: routes, services and keys.
 
 mod connections;
 mod routes;
--- a/trouttrack_core/src/fleet/routes.rs
+++ b/trouttrack_core/src/fleet/routes.rs
@@ -1,4 +1,4 @@
-//! Finding a request's route and organisation.
+//! Lookup of a request's route and organisation.
 
 use super::types::{FleetConfig, Organisation, Route, ServiceSpec, Share};
 use crate::{ConfigVersion, ServiceId};
@@ -6,19 +6,19 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Whether a request's key admits it.
+/// Result of checking the key of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// No key is needed.
+    /// No key is required.
     Open,
     /// The key belongs to this organisation.
     Keyed(Rc<Organisation>),
-    /// A key is needed and none that is known was given.
+    /// A key is required, and the request has no key or an unknown one.
     Refused,
 }
 
 impl Admission {
-    /// The organisation that the key belongs to.
+    /// Returns the organisation that the key belongs to.
     #[must_use]
     pub fn organisation(&self) -> Option<&Rc<Organisation>> {
         match self {
@@ -28,7 +28,7 @@
     }
 }
 
-/// A configuration, indexed by what requests bring.
+/// A configuration indexed by host and key.
 ///
 /// # Examples
 ///
@@ -40,13 +40,13 @@
 #[derive(Debug)]
 pub struct RouteTable {
     config: FleetConfig,
-    /// Routes of a host, the longest prefix first.
+    /// Routes of each host, longest prefix first.
     by_host: HashMap<String, Vec<Rc<Route>>>,
     by_key: HashMap<String, Rc<Organisation>>,
 }
 
 impl RouteTable {
-    /// Indexes a configuration.
+    /// Builds the indexes for a configuration.
     #[must_use]
     pub fn new(config: FleetConfig) -> Self {
         let mut by_host: HashMap<String, Vec<Rc<Route>>> = HashMap::new();
@@ -74,26 +74,26 @@
         }
     }
 
-    /// The configuration.
+    /// Returns the configuration.
     #[must_use]
     pub fn config(&self) -> &FleetConfig {
         &self.config
     }
 
-    /// Its version.
+    /// Returns the version of the configuration.
     #[must_use]
     pub fn version(&self) -> ConfigVersion {
         self.config.version
     }
 
-    /// The route with the longest prefix that begins the path.
+    /// Returns the route of the host with the longest prefix that matches the path.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let routes = self.by_host.get(&host.to_ascii_lowercase())?;
         routes.iter().find(|r| path.starts_with(&r.path_prefix))
     }
 
-    /// Whether a request with this key may use a route.
+    /// Checks whether a request with this key may use a route.
     #[must_use]
     pub fn admit(&self, route: &Route, key: Option<&str>) -> Admission {
         if route.public || self.config.organisations.is_none() {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// A service of the configuration.
+    /// Returns a service by name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&ServiceSpec> {
         self.config.services.iter().find(|s| s.name == name)
@@ -113,17 +113,17 @@
 }
 
 impl Route {
-    /// Draws the service that runs a request, by the weights.
+    /// Selects the service for a request at random, weighted by the shares.
     pub fn draw_service<R: Rng>(&self, rng: &mut R) -> Option<&ServiceId> {
-        let whole: f64 = self.shares.iter().map(|s| s.weight.max(0.0)).sum();
-        if self.shares.len() <= 1 || whole <= 0.0 {
+        let total_weight: f64 = self.shares.iter().map(|s| s.weight.max(0.0)).sum();
+        if self.shares.len() <= 1 || total_weight <= 0.0 {
             return self.shares.first().map(|s| &s.service);
         }
-        let mut left = rng.random_range(0.0..whole);
-        let drawn = self.shares.iter().find(|s: &&Share| {
-            left -= s.weight.max(0.0);
-            left < 0.0
+        let mut remaining = rng.random_range(0.0..total_weight);
+        let selected = self.shares.iter().find(|s: &&Share| {
+            remaining -= s.weight.max(0.0);
+            remaining < 0.0
         });
-        drawn.or(self.shares.last()).map(|s| &s.service)
+        selected.or(self.shares.last()).map(|s| &s.service)
     }
 }
--- a/trouttrack_core/src/fleet/types.rs
+++ b/trouttrack_core/src/fleet/types.rs
@@ -1,28 +1,28 @@
-//! What a configuration holds.
+//! Types of the fleet configuration.
 
 use crate::{ConfigVersion, OrganisationId, ServiceId};
 use std::time::Duration;
 
-/// What kind of requests a route takes.
+/// How a route returns its responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// One answer, taken whole before it is passed on.
+    /// A single response, buffered completely before it is forwarded.
     Plain {
-        /// Whether a request may be run more than once.
+        /// Whether requests are idempotent, so that they may run more than once.
         repeatable: bool,
     },
-    /// A stream of events, passed on as they come.
+    /// A stream of events, forwarded as they arrive.
     Stream {
-        /// Whether a stream that broke off may be taken up again at another
-        /// upstream, after the last event that arrived.
+        /// Whether an interrupted stream may be resumed on another upstream after
+        /// the last event received.
         resumable: bool,
-        /// The longest pause between two events that is still good service.
+        /// Service level objective for the gap between two events.
         longest_pause: Option<Duration>,
     },
 }
 
 impl RouteKind {
-    /// Whether a request that may have run may be run again.
+    /// Returns whether a request that may already have run may be retried.
     #[must_use]
     pub fn repeatable(self) -> bool {
         match self {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Whether the answer is a stream of events.
+    /// Returns whether the response is a stream of events.
     #[must_use]
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
@@ -43,81 +43,82 @@
 pub struct Share {
     /// The service.
     pub service: ServiceId,
-    /// Its weight among the route's services.
+    /// Weight relative to the other services of the route.
     pub weight: f64,
 }
 
-/// Where requests of a host and path go, and how they are treated.
+/// Routing and handling of requests for a host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: String,
-    /// The host it is for.
+    /// Host that the route matches.
     pub host: String,
-    /// The beginning of the paths it is for; begins and ends with a slash.
+    /// Path prefix that the route matches; begins and ends with a slash.
     pub path_prefix: String,
-    /// What kind of requests it takes.
+    /// How responses are returned.
     pub kind: RouteKind,
-    /// The longest that a request may be held.
+    /// Maximum time for which the gateway may hold a request.
     pub timeout: Duration,
-    /// The time to the answer, or the first event, that is good service.
+    /// Service level objective for the time to the response, or to the first event of a stream.
     pub objective: Duration,
-    /// Its rank; 0 is the most urgent.
+    /// Priority of the route; 0 is the highest.
     pub priority: u8,
-    /// The services that run its requests.
+    /// Services that run requests of the route.
     pub shares: Vec<Share>,
-    /// The most upstreams that one request may be sent to.
+    /// Maximum number of upstreams that one request may be sent to.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without a key.
     pub public: bool,
 }
 
-/// What an engine of a service can do.
+/// Capabilities and memory of a service's engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSpec {
-    /// Tokens of memory.
+    /// KV cache capacity in tokens.
     pub memory_tokens: u64,
-    /// Bytes of memory that a token takes.
+    /// KV cache bytes per token.
     pub bytes_per_token: f64,
-    /// Bytes a second over which memory is copied to another engine.
+    /// Bandwidth for copying KV cache to another engine, in bytes per second.
     pub link_bytes_per_second: f64,
-    /// Whether a running generation can be moved.
+    /// Whether running generations can be migrated to another engine.
     pub moves: bool,
-    /// Whether a copy of a running generation can be kept elsewhere.
+    /// Whether backups of running generations can be kept on another engine.
     pub backups: bool,
-    /// Tokens in one event of a stream.
+    /// Tokens per stream event.
     pub tokens_per_event: u64,
 }
 
-/// A service.
+/// Specification of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceId,
-    /// Connections that one of its upstreams takes, from all VMs together.
+    /// Connections that each of its upstreams accepts from all VMs combined; `None` if
+    /// unlimited.
     pub max_connections: Option<usize>,
-    /// Requests a second that one of its upstreams bears while it is cold; zero if that
-    /// is not bounded.
+    /// Requests per second that each of its upstreams can handle while cold; zero if
+    /// unlimited.
     pub cold_rate: f64,
-    /// What its engines can do; `None` for a plain service.
+    /// Engine specification; `None` for a service without engines.
     pub engine: Option<EngineSpec>,
 }
 
-/// What callers may send, and how long they may take.
+/// Size limits and timeouts for callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The largest request head, in bytes.
+    /// Maximum size of the request head, in bytes.
     pub head_bytes: usize,
-    /// The largest request body, in bytes.
+    /// Maximum size of the request body, in bytes.
     pub body_bytes: usize,
-    /// How long a request head may take to arrive.
+    /// Timeout for receiving the request head.
     pub head_timeout: Duration,
-    /// How long a connection may be idle.
+    /// Idle timeout of a connection.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// What holds while a configuration says nothing.
+    /// Returns the limits that apply while no configuration sets any.
     fn default() -> Self {
         Self {
             head_bytes: 16 << 10,
@@ -128,21 +129,21 @@
     }
 }
 
-/// Whose requests a key stands for.
+/// An organisation and its keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Organisation {
-    /// Its name.
+    /// Name of the organisation.
     pub name: OrganisationId,
-    /// Its keys.
+    /// Keys that identify the organisation.
     pub keys: Vec<String>,
-    /// Its rank, which goes before the route's.
+    /// Priority, which overrides the priority of the route.
     pub priority: Option<u8>,
 }
 
-/// A whole configuration.
+/// The complete fleet configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetConfig {
-    /// Grows with each change.
+    /// Increases with each change.
     pub version: ConfigVersion,
     /// Routes.
     pub routes: Vec<Route>,
@@ -150,6 +151,6 @@
     pub services: Vec<ServiceSpec>,
     /// Limits on callers.
     pub limits: CallerLimits,
-    /// Organisations; `None` if requests need no key at all.
+    /// Organisations; `None` if no request needs a key.
     pub organisations: Option<Vec<Organisation>>,
 }
--- a/trouttrack_core/src/freshness/mod.rs
+++ b/trouttrack_core/src/freshness/mod.rs
@@ -1,14 +1,14 @@
-//! Whether a configuration is known to be current.
+//! Tracks whether a configuration is known to be current.
 //!
-//! A key that was removed must not admit a request after a bound, also on a VM
-//! that hears nothing any more. So a VM counts from the moment at which it
-//! *sent* the newest call whose answer showed the configuration: what that
-//! answer says was true then or later.
+//! A removed key must stop admitting requests within a bound, even on a VM that
+//! has been partitioned from the fleet. A VM therefore measures the age of its
+//! configuration from the time at which it *sent* the most recent call whose
+//! response confirmed it: the response was valid at that time or later.
 
 use crate::Time;
 use std::time::Duration;
 
-/// The age of the newest confirmation, against a bound.
+/// Age of the most recent confirmation, compared with a bound.
 ///
 /// # Examples
 ///
@@ -29,7 +29,7 @@
 }
 
 impl Freshness {
-    /// Nothing is confirmed yet.
+    /// Creates a state without any confirmation.
     #[must_use]
     pub fn new(bound: Duration) -> Self {
         Self {
@@ -38,24 +38,24 @@
         }
     }
 
-    /// Changes the bound.
+    /// Sets the maximum age of a confirmation.
     pub fn set_bound(&mut self, bound: Duration) {
         self.bound = bound;
     }
 
-    /// A call sent at `sent_at` was answered with the configuration in force.
-    /// An older confirmation than the newest changes nothing.
+    /// Records that the response to a call sent at `sent_at` confirmed the configuration
+    /// in force. Has no effect if a more recent confirmation is known.
     pub fn confirmed(&mut self, sent_at: Time) {
         self.confirmed_at = self.confirmed_at.max(Some(sent_at));
     }
 
-    /// How old the newest confirmation is.
+    /// Returns the age of the most recent confirmation.
     #[must_use]
     pub fn age(&self, now: Time) -> Option<Duration> {
         Some(now.saturating_sub(self.confirmed_at?))
     }
 
-    /// Whether the configuration may still decide about keys.
+    /// Returns whether the configuration may still be used to admit keys.
     #[must_use]
     pub fn is_fresh(&self, now: Time) -> bool {
         self.age(now).is_some_and(|age| age < self.bound)
--- a/trouttrack_core/src/ids.rs
+++ b/trouttrack_core/src/ids.rs
@@ -1,28 +1,30 @@
-//! Aliases for the identifiers that cross crate borders.
+//! Type aliases for identifiers that are shared between crates.
 
 use std::time::Duration;
 
-/// A point in time, as the duration since the process (or the bench) started.
+/// A point in time, as the duration since the process (or the benchmark) started.
 pub type Time = Duration;
-/// Name of an organisation, unique in a fleet.
+/// Name of an organisation, unique within a fleet.
 pub type OrganisationId = String;
-/// Name of a service, unique in a fleet.
+/// Name of a service, unique within a fleet.
 pub type ServiceId = String;
-/// Name of an upstream, unique in a fleet.
+/// Name of an upstream, unique within a fleet.
 pub type UpstreamId = String;
 /// Name of a failure domain.
 pub type FailureDomain = String;
-/// The id a caller is given for its request.
+/// ID assigned to a request and returned to its caller.
 pub type RequestId = String;
-/// The id that the gateway gives to one hand-over; an upstream runs it at most once.
+/// ID that the gateway assigns to one dispatch of a request; an upstream runs each ID at most
+/// once.
 pub type StreamId = String;
-/// What two arrivals of the same request have in common, whatever their ids.
+/// Content hash of a request. Equal for repeated submissions of the same request, which have
+/// different IDs.
 pub type Fingerprint = u128;
-/// The engine's number for one generation of one answer.
+/// Engine-assigned number of one generation of an answer.
 pub type Generation = u64;
-/// Zero-based position of a token in its generation.
+/// Zero-based position of a token within its generation.
 pub type TokenIndex = u64;
 /// Number of times the platform's store has been restored from a backup.
 pub type StoreEpoch = u64;
-/// Version of the fleet configuration; only ever grows.
+/// Version of the fleet configuration; increases monotonically.
 pub type ConfigVersion = u64;
--- a/trouttrack_core/src/lease/mod.rs
+++ b/trouttrack_core/src/lease/mod.rs
@@ -1,61 +1,63 @@
-//! Leases: who may act, until when, and when another may take over.
+//! Leases that do not depend on synchronised clocks.
 //!
-//! A lease is one object of the platform's service with a holder, an epoch and
-//! a duration. No two clocks are ever compared:
+//! A lease is one object in the platform's store with a holder, an epoch and a
+//! duration. Clocks of different processes are never compared:
 //!
-//! - a holder may act until the duration, less a margin, has passed on its own
-//!   clock since *before* it sent the write that won or renewed the lease;
-//! - another takes over only after it has itself seen the object unchanged for
-//!   the whole duration on its own clock.
+//! - a holder may act until the duration less a safety margin has elapsed on its
+//!   own clock, measured from *before* it sent the write that acquired or renewed
+//!   the lease;
+//! - another process may take over only after it has observed the object
+//!   unchanged for the full duration on its own clock.
 //!
-//! Each change of holder raises the epoch. Work that must not be done by an old
-//! holder bears the epoch, so whoever receives it can refuse an old one.
+//! Each change of holder increments the epoch. Operations that a former holder
+//! must not perform include the epoch as a fencing token, so that the receiver
+//! can reject an outdated one.
 
 use crate::Time;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A lease's number; grows with each change of holder.
+/// Fencing token of a lease; increases with each change of holder.
 pub type Epoch = u64;
 
-/// The object.
+/// The stored lease object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// Who holds it.
+    /// Name of the holder.
     pub holder: String,
-    /// Its epoch.
+    /// Epoch of the lease.
     pub epoch: Epoch,
-    /// How long it is held without being renewed, in milliseconds.
+    /// Time after which the lease expires unless renewed, in milliseconds.
     pub duration_ms: u64,
 }
 
 impl LeaseRecord {
-    /// How long it is held without being renewed.
+    /// Returns the time after which the lease expires unless renewed.
     #[must_use]
     pub fn duration(&self) -> Duration {
         Duration::from_millis(self.duration_ms)
     }
 }
 
-/// The part of the duration in which a holder no longer acts, because what it
-/// begins then could end too late.
-const MARGIN: u32 = 4;
-/// A holder renews after this part of the duration.
-const RENEW: u32 = 3;
+/// The holder stops acting for the last `1/MARGIN_DIVISOR` of the duration, because an
+/// operation started then could finish after the lease has expired.
+const MARGIN_DIVISOR: u32 = 4;
+/// The holder renews the lease after `1/RENEWAL_DIVISOR` of the duration.
+const RENEWAL_DIVISOR: u32 = 3;
 
-/// A lease as its holder knows it.
+/// A lease from the point of view of its holder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Held {
-    /// The object's version.
+    /// Version of the stored object.
     pub version: u64,
-    /// The object.
+    /// Content of the stored object.
     pub record: LeaseRecord,
-    /// Before the write was sent.
+    /// Time immediately before the write that acquired or renewed the lease was sent.
     pub since: Time,
 }
 
 impl Held {
-    /// Whether the holder may begin something at `now`.
+    /// Returns whether the holder may start an operation at `now`.
     ///
     /// # Examples
     ///
@@ -70,17 +72,17 @@
     #[must_use]
     pub fn may_act(&self, now: Time) -> bool {
         let duration = self.record.duration();
-        now < self.since + (duration - duration / MARGIN)
+        now < self.since + (duration - duration / MARGIN_DIVISOR)
     }
 
-    /// Whether it is time to renew.
+    /// Returns whether the lease is due for renewal.
     #[must_use]
     pub fn renew_due(&self, now: Time) -> bool {
-        now >= self.since + self.record.duration() / RENEW
+        now >= self.since + self.record.duration() / RENEWAL_DIVISOR
     }
 }
 
-/// A lease as another sees it.
+/// A lease from the point of view of another process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Observed {
     version: u64,
@@ -88,8 +90,9 @@
 }
 
 impl Observed {
-    /// Notes the object as it was read at `now`; returns whether it has been
-    /// unchanged for its whole duration, so that it may be taken over.
+    /// Records that the object was read at `now` with this version and content. Returns
+    /// whether it has been unchanged for its full duration, so that the lease may be
+    /// taken over.
     ///
     /// # Examples
     ///
--- a/trouttrack_core/src/length/mod.rs
+++ b/trouttrack_core/src/length/mod.rs
@@ -1,32 +1,34 @@
-//! Learned quantiles of the tokens that remain.
+//! Estimation of the remaining length of answers from observed lengths.
 //!
-//! Each key keeps a decayed histogram of whole lengths over log-spaced
-//! buckets. The remaining length given `so_far` tokens is read from the part
-//! of the histogram above `so_far`.
+//! Each key has an exponentially decayed histogram of total answer lengths with
+//! log-spaced buckets. The remaining length of an answer that has `so_far` tokens
+//! is estimated from the part of the histogram above `so_far`.
 
 use std::collections::HashMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Buckets: four for each doubling, from 1 token to 2^17.
-const PER_DOUBLING: f64 = 4.0;
+/// Buckets per doubling of the length.
+const BUCKETS_PER_DOUBLING: f64 = 4.0;
+/// Buckets of a histogram, which cover lengths from 1 to 2^17 tokens.
 const BUCKETS: usize = 68;
-/// Each new length multiplies the weight of the old ones by this.
+/// Factor by which each new observation decays the weight of earlier ones.
 const DECAY: f64 = 0.998;
-/// Below this weight a histogram defers to the wider one.
-const ENOUGH: f64 = 12.0;
-/// What is assumed of a length while nothing at all is known.
-const PRIOR: f64 = 256.0;
+/// Minimum total weight of a histogram. Below it, the histogram of the next less specific key
+/// is used.
+const MIN_TOTAL_WEIGHT: f64 = 12.0;
+/// Estimate used while no histogram has sufficient weight, in tokens.
+const DEFAULT_LENGTH_TOKENS: f64 = 256.0;
 
-/// The keys under which a length is learned, from narrow to wide.
+/// The keys under which a length is recorded, from most to least specific.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LengthKey {
-    narrow: u64,
+    service_and_organisation: u64,
     service: u64,
     model: u64,
 }
 
 impl LengthKey {
-    /// A key for one service, model and organisation.
+    /// Creates the key for a service, model and organisation.
     ///
     /// # Examples
     ///
@@ -38,9 +40,9 @@
     pub fn new(service: &str, model: &str, organisation: &str) -> Self {
         let service = xxh3_64(service.as_bytes());
         let model = xxh3_64(model.as_bytes()) ^ 1;
-        let narrow = service.rotate_left(17) ^ xxh3_64(organisation.as_bytes());
+        let service_and_organisation = service.rotate_left(17) ^ xxh3_64(organisation.as_bytes());
         Self {
-            narrow,
+            service_and_organisation,
             service,
             model,
         }
@@ -48,12 +50,12 @@
 }
 
 #[derive(Clone, Debug)]
-struct Survival {
+struct LengthHistogram {
     weights: [f32; BUCKETS],
     total: f64,
 }
 
-impl Default for Survival {
+impl Default for LengthHistogram {
     fn default() -> Self {
         Self {
             weights: [0.0; BUCKETS],
@@ -62,39 +64,39 @@
     }
 }
 
-fn bucket(tokens: f64) -> usize {
-    let position = tokens.max(1.0).log2() * PER_DOUBLING;
+fn bucket_index(tokens: f64) -> usize {
+    let position = tokens.max(1.0).log2() * BUCKETS_PER_DOUBLING;
     (position as usize).min(BUCKETS - 1)
 }
 
 fn upper_edge(bucket: usize) -> f64 {
-    ((bucket + 1) as f64 / PER_DOUBLING).exp2()
+    ((bucket + 1) as f64 / BUCKETS_PER_DOUBLING).exp2()
 }
 
-impl Survival {
-    fn learn(&mut self, tokens: f64) {
+impl LengthHistogram {
+    fn record(&mut self, tokens: f64) {
         for w in &mut self.weights {
             *w *= DECAY as f32;
         }
         self.total = self.total * DECAY + 1.0;
-        self.weights[bucket(tokens)] += 1.0;
+        self.weights[bucket_index(tokens)] += 1.0;
     }
 
-    /// The `quantile` of whole lengths above `so_far`, or `None` if too little
-    /// is known.
-    fn whole(&self, so_far: f64, quantile: f64) -> Option<f64> {
-        if self.total < ENOUGH {
+    /// Returns the `quantile` of total lengths that are at least `so_far`, or `None`
+    /// if the weight of the observations is too low.
+    fn total_length_quantile(&self, so_far: f64, quantile: f64) -> Option<f64> {
+        if self.total < MIN_TOTAL_WEIGHT {
             return None;
         }
-        let first = bucket(so_far);
+        let first = bucket_index(so_far);
         let above: f64 = self.weights[first..].iter().map(|&w| f64::from(w)).sum();
         if above < 1.0 {
             return None;
         }
-        let mut left = above * quantile;
+        let mut remaining_weight = above * quantile;
         for (i, &w) in self.weights.iter().enumerate().skip(first) {
-            left -= f64::from(w);
-            if left <= 0.0 {
+            remaining_weight -= f64::from(w);
+            if remaining_weight <= 0.0 {
                 return Some(upper_edge(i));
             }
         }
@@ -102,7 +104,7 @@
     }
 }
 
-/// Learns whole lengths and tells the quantiles of what remains.
+/// Records total lengths of answers and estimates quantiles of the remaining length.
 ///
 /// # Examples
 ///
@@ -117,34 +119,37 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct LengthTable {
-    by_key: HashMap<u64, Survival>,
+    by_key: HashMap<u64, LengthHistogram>,
 }
 
 impl LengthTable {
-    /// Takes in the whole length of an answer that ended by itself.
+    /// Records the total length of an answer that was not cut off.
     pub fn learn(&mut self, key: LengthKey, tokens: u64) {
-        for k in [key.narrow, key.service, key.model] {
-            self.by_key.entry(k).or_default().learn(tokens as f64);
+        for k in [key.service_and_organisation, key.service, key.model] {
+            self.by_key.entry(k).or_default().record(tokens as f64);
         }
     }
 
-    /// The `quantile` (0 to 1) of the tokens still to come after `so_far`.
+    /// Returns the `quantile` (0 to 1) of the remaining tokens of an answer that has `so_far`
+    /// tokens.
     #[must_use]
     pub fn remaining(&self, key: LengthKey, so_far: u64, quantile: f64) -> f64 {
         let so_far = so_far as f64;
-        [key.narrow, key.service, key.model]
+        [key.service_and_organisation, key.service, key.model]
             .iter()
-            .find_map(|k| self.by_key.get(k)?.whole(so_far, quantile))
-            .map_or(so_far.max(PRIOR), |whole| (whole - so_far).max(1.0))
+            .find_map(|k| self.by_key.get(k)?.total_length_quantile(so_far, quantile))
+            .map_or(so_far.max(DEFAULT_LENGTH_TOKENS), |total| {
+                (total - so_far).max(1.0)
+            })
     }
 
-    /// How many keys are held.
+    /// Returns the number of keys with recorded lengths.
     #[must_use]
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Whether nothing has been learned.
+    /// Returns whether no lengths have been recorded.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.by_key.is_empty()
--- a/trouttrack_core/src/lib.rs
+++ b/trouttrack_core/src/lib.rs
@@ -1,20 +1,22 @@
 //! Tables, decisions and the request state machine of trouttrack.
 //!
-//! This crate does no input or output, reads no clock and starts no thread.
-//! Time is a [`Time`] passed in by the caller and randomness is a seeded
-//! generator, so every decision can be replayed.
+//! This crate performs no I/O, reads no clock and starts no threads. The caller
+//! passes in the time as a [`Time`] and randomness as a seeded generator, so
+//! every decision can be replayed.
 //!
 //! - [`request`] is the state machine of one request and its retry rule.
-//! - [`world`] holds the tables and the systems that run over them each tick.
-//! - [`routing`] chooses an upstream; the baselines live beside the default.
-//! - [`fleet`] finds a request's route and organisation.
-//! - [`freshness`] says whether a configuration is known to be current.
-//! - [`rescue`] times the move of generations away from a leaving engine.
-//! - [`claims`] makes callers' keys run at most once across VMs.
-//! - [`lease`] says when a holder may act.
-//! - [`length`] learns how many tokens remain.
-//! - [`quarantine`] remembers the requests under which upstreams ended.
-//! - [`membership`] merges what peers tell each other.
+//! - [`world`] contains the tables and the systems that run over them each tick.
+//! - [`routing`] contains the default policy that selects an upstream, and the
+//!   baseline policies.
+//! - [`fleet`] looks up a request's route and organisation.
+//! - [`freshness`] tracks whether a configuration is known to be current.
+//! - [`rescue`] schedules the migration of generations off a departing engine.
+//! - [`claims`] ensures that requests with the same idempotency key run at most
+//!   once across VMs.
+//! - [`lease`] determines when a lease holder may act.
+//! - [`length`] estimates how many tokens of an answer remain.
+//! - [`quarantine`] tracks requests that were running when upstreams failed.
+//! - [`membership`] merges the state that peers exchange.
 
 pub mod claims;
 pub mod fleet;
--- a/trouttrack_core/src/outcome/mod.rs
+++ b/trouttrack_core/src/outcome/mod.rs
@@ -1,33 +1,33 @@
-//! What a caller is told about the fate of its request.
+//! The outcome of a request, as reported to its caller.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The fate of a request, as stated to its caller.
+/// The outcome of a request, as reported to its caller.
 ///
 /// # Examples
 ///
 /// ```
 /// use trouttrack_core::Outcome;
 /// assert_eq!(Outcome::NotRun.to_string(), "not-run");
-/// assert!(Outcome::NotRun.safe_to_repeat());
-/// assert!(!Outcome::Unknown.safe_to_repeat());
+/// assert!(Outcome::NotRun.is_safe_to_retry());
+/// assert!(!Outcome::Unknown.is_safe_to_retry());
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The whole answer of one generation was delivered.
+    /// The complete answer of one generation was delivered.
     Complete,
-    /// No upstream ran the request, and none will.
+    /// No upstream has run the request or will run it.
     NotRun,
-    /// A first part of one generation was delivered, then a stated end.
+    /// The first part of one generation was delivered, followed by an explicit end marker.
     Interrupted,
-    /// The request was handed over and its fate cannot be known.
+    /// The request was dispatched to an upstream and its result cannot be determined.
     Unknown,
 }
 
 impl Outcome {
-    /// Every outcome, in the order of the documentation.
+    /// All outcomes, in the order of the documentation.
     pub const ALL: [Self; 4] = [
         Self::Complete,
         Self::NotRun,
@@ -35,7 +35,7 @@
         Self::Unknown,
     ];
 
-    /// The outcome's name in headers, events and metrics.
+    /// Returns the name of the outcome in headers, events and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -46,9 +46,9 @@
         }
     }
 
-    /// Whether a caller may send a not-repeatable request again.
+    /// Returns whether a caller may safely retry a request that is not idempotent.
     #[must_use]
-    pub fn safe_to_repeat(self) -> bool {
+    pub fn is_safe_to_retry(self) -> bool {
         self == Self::NotRun
     }
 }
--- a/trouttrack_core/src/prefix.rs
+++ b/trouttrack_core/src/prefix.rs
@@ -1,18 +1,19 @@
-//! Hashes of prompt prefixes, as engines name them in their cache events.
+//! Prompt prefix hashes, in the form in which engines report them in their cache events.
 //!
 //! A prompt is cut into blocks of [`BLOCK_TOKENS`] tokens. The hash of a block
-//! covers all text up to its end, so equal hashes mean equal prefixes.
+//! covers the whole prompt up to the end of that block, so equal hashes mean equal
+//! prefixes.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Tokens in a block of an engine's memory.
+/// Tokens per KV cache block of an engine.
 pub const BLOCK_TOKENS: u64 = 16;
-/// Bytes of text taken as one token where the engine's count is not known.
+/// Bytes per token assumed where the engine's token count is not known.
 pub const BYTES_PER_TOKEN: usize = 4;
 
 const BLOCK_BYTES: usize = BLOCK_TOKENS as usize * BYTES_PER_TOKEN;
 
-/// Tokens that a text is taken to have.
+/// Estimates the number of tokens in a text.
 ///
 /// # Examples
 ///
@@ -24,7 +25,7 @@
     text.len().div_ceil(BYTES_PER_TOKEN) as u64
 }
 
-/// The chained hashes of the whole blocks of a prompt.
+/// Returns the chained hashes of the complete blocks of a prompt. A partial last block is ignored.
 ///
 /// # Examples
 ///
--- a/trouttrack_core/tests/core/claims.rs
+++ b/trouttrack_core/tests/core/claims.rs
@@ -1,4 +1,5 @@
-//! Claims: one winner for each key, whoever acts and whatever is lost.
+//! Claims: each key is claimed at most once, with stale processes, concurrent writes and lost
+//! replies.
 
 use proptest::prelude::*;
 use std::collections::{BTreeMap, HashMap};
@@ -8,13 +9,13 @@
 };
 
 const LIMITS: ShardLimits = ShardLimits {
-    bucket_claims: 3,
-    bucket_age: Duration::from_secs(5),
-    remembered: Duration::from_secs(20),
+    max_bucket_claims: 3,
+    max_bucket_age: Duration::from_secs(5),
+    retention: Duration::from_secs(20),
     slots: 5,
 };
 
-/// The platform's service: versions and conditional updates.
+/// A store with versioned objects and conditional updates.
 #[derive(Default)]
 struct Store {
     objects: BTreeMap<Slot, (u64, Bucket)>,
@@ -49,30 +50,30 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Act {
-    /// Which of three processes acts.
+struct ClaimStep {
+    /// Index of the process that claims, of three.
     process: usize,
     key: u8,
-    /// It slept since it last looked, and acts on what it knew.
+    /// The process does not read the store first, so it acts on an outdated view.
     stale: bool,
-    /// Another process acts between its plan and its write.
-    overtaken: bool,
+    /// Another process claims the same key between the plan and its write.
+    interleaved: bool,
     seconds: u64,
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn step() -> impl Strategy<Value = ClaimStep> {
     (0usize..3, 0u8..6, any::<bool>(), any::<bool>(), 0u64..8).prop_map(
-        |(process, key, stale, overtaken, seconds)| Act {
+        |(process, key, stale, interleaved, seconds)| ClaimStep {
             process,
             key,
             stale,
-            overtaken,
+            interleaved,
             seconds,
         },
     )
 }
 
-/// One try; `true` if the request may run.
+/// Attempts a claim. Returns whether the request may run.
 fn attempt(store: &mut Store, shard: &mut ClaimShard, now: Duration, c: &Claim) -> bool {
     let (decided, plan) = shard.plan(now, std::slice::from_ref(c));
     if decided != [Decided::Ours] {
@@ -97,54 +98,60 @@
         ..ProptestConfig::default()
     })]
 
-    /// Within the time that claims are remembered no key is won twice, though
-    /// processes act on old knowledge and overtake each other.
+    /// No key is claimed twice within the retention period, even if processes act on
+    /// outdated views and their writes interleave.
     #[test]
-    fn no_key_is_won_twice(acts in prop::collection::vec(act(), 1..200)) {
+    fn no_key_is_claimed_twice_within_retention(
+        steps in prop::collection::vec(step(), 1..200),
+    ) {
         let mut store = Store::default();
         let mut shards = vec![ClaimShard::new(LIMITS); 3];
-        let mut won: HashMap<u8, Duration> = HashMap::new();
+        let mut claimed_at: HashMap<u8, Duration> = HashMap::new();
         let mut now = Duration::from_secs(1);
-        for (i, act) in acts.into_iter().enumerate() {
-            now += Duration::from_secs(act.seconds);
-            if !act.stale {
-                store.read_all(&mut shards[act.process]);
+        for (i, step) in steps.into_iter().enumerate() {
+            now += Duration::from_secs(step.seconds);
+            if !step.stale {
+                store.read_all(&mut shards[step.process]);
             }
-            let c = claim(act.key, i);
-            if act.overtaken {
-                let other = (act.process + 1) % 3;
-                let (_, plan) = shards[act.process].plan(now, std::slice::from_ref(&c));
+            let c = claim(step.key, i);
+            if step.interleaved {
+                let other = (step.process + 1) % 3;
+                let (_, plan) = shards[step.process].plan(now, std::slice::from_ref(&c));
                 store.read_all(&mut shards[other]);
-                let theirs = claim(act.key, 1000 + i);
-                if attempt(&mut store, &mut shards[other], now, &theirs) {
-                    prop_assert!(fresh(&won, act.key, now));
-                    won.insert(act.key, now);
+                let other_claim = claim(step.key, 1000 + i);
+                if attempt(&mut store, &mut shards[other], now, &other_claim) {
+                    prop_assert!(is_claimable(&claimed_at, step.key, now));
+                    claimed_at.insert(step.key, now);
                 }
                 if let Some(plan) = plan && store.write(&plan).is_some() {
-                    prop_assert!(fresh(&won, act.key, now), "the overtaken write landed too");
-                    won.insert(act.key, now);
+                    prop_assert!(
+                        is_claimable(&claimed_at, step.key, now),
+                        "both interleaved writes for one key succeeded"
+                    );
+                    claimed_at.insert(step.key, now);
                 }
-            } else if attempt(&mut store, &mut shards[act.process], now, &c) {
-                prop_assert!(fresh(&won, act.key, now));
-                won.insert(act.key, now);
+            } else if attempt(&mut store, &mut shards[step.process], now, &c) {
+                prop_assert!(is_claimable(&claimed_at, step.key, now));
+                claimed_at.insert(step.key, now);
             }
         }
     }
 }
 
-fn fresh(won: &HashMap<u8, Duration>, key: u8, now: Duration) -> bool {
-    won.get(&key)
-        .is_none_or(|at| now - *at >= LIMITS.remembered)
+fn is_claimable(claimed_at: &HashMap<u8, Duration>, key: u8, now: Duration) -> bool {
+    claimed_at
+        .get(&key)
+        .is_none_or(|at| now - *at >= LIMITS.retention)
 }
 
 #[test]
-fn a_request_that_asks_again_after_a_lost_reply_still_has_its_key() {
+fn retry_after_a_lost_reply_keeps_the_claim() {
     let mut store = Store::default();
     let mut shard = ClaimShard::new(LIMITS);
     let now = Duration::from_secs(1);
     let c = claim(1, 1);
     let (_, plan) = shard.plan(now, std::slice::from_ref(&c));
-    // The write lands and its reply is lost.
+    // The write succeeds and its reply is lost.
     assert!(store.write(&plan.unwrap()).is_some());
     store.read_all(&mut shard);
     assert_eq!(
@@ -156,7 +163,7 @@
 }
 
 #[test]
-fn a_claim_is_taken_over_only_from_the_request_that_gave_it_up() {
+fn take_over_replaces_only_the_abandoned_claim() {
     let mut store = Store::default();
     let mut shard = ClaimShard::new(LIMITS);
     let now = Duration::from_secs(1);
@@ -170,7 +177,7 @@
 }
 
 #[test]
-fn two_of_one_batch_with_one_key_are_one_claim() {
+fn duplicate_keys_in_a_batch_yield_one_claim() {
     let shard = ClaimShard::new(LIMITS);
     let (first, second) = (claim(1, 1), claim(1, 2));
     let (decided, plan) = shard.plan(Duration::from_secs(1), &[first.clone(), second]);
@@ -179,7 +186,7 @@
 }
 
 #[test]
-fn a_process_that_goes_moves_only_its_own_shards() {
+fn departed_process_reassigns_only_its_own_shards() {
     let all = ["g1", "g2", "g3", "g4", "g5"];
     let mut moved = 0;
     for shard in 0..64 {
@@ -194,11 +201,11 @@
 }
 
 #[test]
-fn a_full_ring_refuses_rather_than_forgets_too_early() {
+fn full_ring_rejects_claims_within_the_retention_period() {
     let mut store = Store::default();
     let mut shard = ClaimShard::new(LIMITS);
     let now = Duration::from_secs(1);
-    let room = LIMITS.slots as usize * LIMITS.bucket_claims;
+    let room = LIMITS.slots as usize * LIMITS.max_bucket_claims;
     for i in 0..room {
         let c = Claim {
             key: key_hash("o", &i.to_string()),
@@ -207,16 +214,16 @@
         };
         assert!(attempt(&mut store, &mut shard, now, &c), "claim {i}");
     }
-    let one_more = claim(1, 1);
+    let template = claim(1, 1);
     let c = Claim {
         key: key_hash("other", "one more"),
-        ..one_more
+        ..template
     };
     assert_eq!(
         shard.plan(now, std::slice::from_ref(&c)).0,
         [Decided::NoRoom]
     );
-    // When the oldest need not be remembered any more, there is room again.
-    let later = now + LIMITS.remembered + LIMITS.bucket_age * 2;
+    // A slot becomes available when the retention of its claims has elapsed.
+    let later = now + LIMITS.retention + LIMITS.max_bucket_age * 2;
     assert!(attempt(&mut store, &mut shard, later, &c));
 }
--- a/trouttrack_core/tests/core/freshness.rs
+++ b/trouttrack_core/tests/core/freshness.rs
@@ -1,4 +1,4 @@
-//! Freshness over schedules of calls, heartbeats and standstills.
+//! Freshness of confirmations across call, heartbeat and suspension schedules.
 
 use proptest::prelude::*;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_call_counts_from_its_sending_not_its_answer() {
+fn age_is_measured_from_the_sending_of_the_call() {
     let mut fresh = Freshness::new(BOUND);
     fresh.confirmed(ms(1000));
     assert!(fresh.is_fresh(ms(5999)));
@@ -21,26 +21,26 @@
 }
 
 #[test]
-fn an_older_confirmation_changes_nothing() {
+fn older_confirmation_has_no_effect() {
     let mut fresh = Freshness::new(BOUND);
     fresh.confirmed(ms(3000));
     fresh.confirmed(ms(1000));
     assert_eq!(fresh.age(ms(4000)), Some(ms(1000)));
 }
 
-/// A peer's word about the past, as this VM's heartbeats went and came.
+/// A heartbeat to a peer and the peer's reply, with times in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct Exchange {
-    /// When our heartbeat was sent.
+    /// Time at which the local heartbeat was sent.
     sent: u64,
-    /// How long it was on its way.
-    out: u64,
-    /// How long after hearing it the peer spoke.
-    pause: u64,
-    /// How old the peer's confirmation was then.
+    /// Transit time of the local heartbeat.
+    transit: u64,
+    /// Time from the receipt of the heartbeat to the sending of the reply.
+    reply_delay: u64,
+    /// Age of the peer's confirmation when it sent the reply.
     age: u64,
-    /// How long the peer's word was on its way, a standstill of ours included.
-    back: u64,
+    /// Transit time of the reply, including any suspension of the local VM.
+    reply_transit: u64,
 }
 
 fn exchange() -> impl Strategy<Value = Exchange> {
@@ -51,45 +51,51 @@
         0u64..6000,
         0u64..60_000,
     );
-    times.prop_map(|(sent, out, pause, age, back)| Exchange {
-        sent,
-        out,
-        pause,
-        age,
-        back,
-    })
+    times.prop_map(
+        |(sent, transit, reply_delay, age, reply_transit)| Exchange {
+            sent,
+            transit,
+            reply_delay,
+            age,
+            reply_transit,
+        },
+    )
 }
 
 impl Exchange {
-    /// When the peer's confirmation was true, which only a bystander knows.
-    fn truth(self) -> Time {
-        ms((self.sent + self.out + self.pause).saturating_sub(self.age))
+    /// Actual time of the peer's confirmation on the local clock, which the local VM cannot
+    /// observe.
+    fn actual_time(self) -> Time {
+        ms((self.sent + self.transit + self.reply_delay).saturating_sub(self.age))
     }
 
-    fn heard_at(self) -> Time {
-        ms(self.sent + self.out + self.pause + self.back)
+    fn received_at(self) -> Time {
+        ms(self.sent + self.transit + self.reply_delay + self.reply_transit)
     }
 }
 
 proptest! {
     #[test]
-    fn a_peers_word_is_never_taken_for_newer_than_it_was(x in exchange()) {
+    fn peer_confirmation_is_never_dated_later_than_its_actual_time(x in exchange()) {
         let mut sent = SentTimes::default();
         sent.sent(1, ms(x.sent));
-        let believed = sent.at_least(1, ms(x.age)).expect("it was sent");
-        prop_assert!(believed <= x.truth());
+        let estimated = sent.at_least(1, ms(x.age)).expect("heartbeat 1 was sent");
+        prop_assert!(estimated <= x.actual_time());
     }
 
     #[test]
-    fn the_naive_reading_is_caught(x in exchange()) {
-        // The planted mistake: the age is counted from when the word was heard.
-        let naive = x.heard_at().saturating_sub(ms(x.age));
-        prop_assert_eq!(naive > x.truth(), x.back > 0 && x.heard_at() > ms(x.age));
+    fn dating_from_receipt_is_detected_as_too_late(x in exchange()) {
+        // Deliberate mistake: the age is subtracted from the time of receipt.
+        let naive = x.received_at().saturating_sub(ms(x.age));
+        prop_assert_eq!(
+            naive > x.actual_time(),
+            x.reply_transit > 0 && x.received_at() > ms(x.age)
+        );
     }
 }
 
 #[test]
-fn what_was_sent_long_ago_is_forgotten() {
+fn oldest_sent_times_are_evicted() {
     let mut sent = SentTimes::default();
     for n in 0..100 {
         sent.sent(n, ms(n));
--- a/trouttrack_core/tests/core/length.rs
+++ b/trouttrack_core/tests/core/length.rs
@@ -1,10 +1,10 @@
-//! Learned lengths.
+//! Estimation of remaining lengths.
 
 use proptest::prelude::*;
 use trouttrack_core::length::{LengthKey, LengthTable};
 
 #[test]
-fn an_unknown_organisation_falls_back_to_its_service_then_its_model() {
+fn unknown_organisation_falls_back_to_service_then_model() {
     let mut table = LengthTable::default();
     let known = LengthKey::new("letters", "drafting", "large");
     for _ in 0..100 {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_long_running_answer_is_expected_to_run_longer() {
+fn estimate_grows_with_the_length_so_far() {
     let mut table = LengthTable::default();
     let key = LengthKey::new("s", "m", "o");
     for i in 0..1000u64 {
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_shift_of_the_lengths_is_followed() {
+fn estimate_adapts_to_a_change_in_lengths() {
     let mut table = LengthTable::default();
     let key = LengthKey::new("s", "m", "o");
     for _ in 0..2000 {
@@ -50,7 +50,7 @@
     })]
 
     #[test]
-    fn quantiles_are_ordered_and_above_zero(
+    fn quantiles_are_ordered_and_positive(
         lengths in prop::collection::vec(1u64..100_000, 0..200),
         so_far in 0u64..100_000,
     ) {
@@ -59,9 +59,9 @@
         for l in &lengths {
             table.learn(key, *l);
         }
-        let at = |q| table.remaining(key, so_far, q);
-        prop_assert!(at(0.1) >= 1.0);
-        prop_assert!(at(0.1) <= at(0.5));
-        prop_assert!(at(0.5) <= at(0.95));
+        let quantile = |q| table.remaining(key, so_far, q);
+        prop_assert!(quantile(0.1) >= 1.0);
+        prop_assert!(quantile(0.1) <= quantile(0.5));
+        prop_assert!(quantile(0.5) <= quantile(0.95));
     }
 }
