--- a/trouttrack_core/src/length/mod.rs
+++ b/trouttrack_core/src/length/mod.rs
@@ -138,8 +138,8 @@
         [key.service_and_organisation, key.service, key.model]
             .iter()
             .find_map(|k| self.by_key.get(k)?.total_length_quantile(so_far, quantile))
-            .map_or(so_far.max(DEFAULT_LENGTH_TOKENS), |total| {
-                (total - so_far).max(1.0)
+            .map_or(so_far.max(DEFAULT_LENGTH_TOKENS), |length| {
+                (length - so_far).max(1.0)
             })
     }
 
--- a/trouttrack_core/src/membership/heartbeat.rs
+++ b/trouttrack_core/src/membership/heartbeat.rs
@@ -34,8 +34,8 @@
 pub const LIMITS_TOLD: usize = 16;
 /// Period after a change of a limit in which it is included in each load update.
 pub const CHANGED_LIMIT_TOLD: Duration = Duration::from_secs(1);
-/// Mean intervals between heartbeats from a given peer after which a silent peer is
-/// considered failed. With a third of the peers selected each time, the probability that a
+/// Silence after which a peer is considered failed, in mean intervals between two of its
+/// heartbeats to the same receiver. With a third of the peers selected each time, the probability that a
 /// live peer is not selected for four such intervals is 1 in 130.
 const MAX_MISSED_INTERVALS: f64 = 4.0;
 
--- a/trouttrack_core/src/membership/receivers.rs
+++ b/trouttrack_core/src/membership/receivers.rs
@@ -12,8 +12,8 @@
 /// lost and 378 late, compared with 1,382 and 273 with fewer direct receivers.
 const MAX_DIRECT_RECEIVERS: usize = 24;
 /// Number of receivers in other failure domains in a larger fleet. Those failure domains
-/// have their own watchers; if one fails, its VMs learn of the updates through the
-/// heartbeats of these receivers.
+/// have their own watchers; if one fails, its VMs detect from the heartbeats of these
+/// receivers that they have missed updates.
 const REMOTE_RECEIVERS: usize = 4;
 
 /// Selects the receivers of an update among `others`; `near` returns whether a peer is in
@@ -65,10 +65,10 @@
     }
     let count = (receivers.len() as f64).sqrt().ceil() as usize;
     let mut receivers = receivers.into_iter();
-    let relays: Vec<T> = receivers.by_ref().take(count).collect();
-    let mut relays: Vec<(T, Vec<T>)> = relays.into_iter().map(|r| (r, Vec::new())).collect();
+    let direct: Vec<T> = receivers.by_ref().take(count).collect();
+    let mut plan: Vec<(T, Vec<T>)> = direct.into_iter().map(|r| (r, Vec::new())).collect();
     for (i, receiver) in receivers.enumerate() {
-        relays[i % count].1.push(receiver);
+        plan[i % count].1.push(receiver);
     }
-    relays
+    plan
 }
--- a/trouttrack_core/src/membership/watch.rs
+++ b/trouttrack_core/src/membership/watch.rs
@@ -2,7 +2,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Returns whether `me` is one of the `count` gateways that watch an upstream, selected
+/// Returns whether `me` is one of the `max_watchers` gateways that watch an upstream, selected
 /// among `me` and the live `others` by rendezvous hashing.
 ///
 /// # Examples
@@ -18,11 +18,11 @@
     upstream: &str,
     me: &str,
     others: impl IntoIterator<Item = &'a str>,
-    count: usize,
+    max_watchers: usize,
 ) -> bool {
     let seed = xxh3_64_with_seed(upstream.as_bytes(), 0);
     let rank = |name: &str| (xxh3_64_with_seed(name.as_bytes(), seed), name.to_owned());
     let mine = rank(me);
     let before = others.into_iter().filter(|o| rank(o) > mine).count();
-    before < count
+    before < max_watchers
 }
--- a/trouttrack_core/src/rescue/mod.rs
+++ b/trouttrack_core/src/rescue/mod.rs
@@ -61,7 +61,7 @@
 pub struct Departure {
     noticed_at: Time,
     ends_at: Time,
-    reported: Option<ReportedGenerations>,
+    report: Option<ReportedGenerations>,
 }
 
 /// Generations of an engine, as it reported them.
@@ -132,7 +132,7 @@
         Self {
             noticed_at: now,
             ends_at: now + MIN_NOTICE,
-            reported: None,
+            report: None,
         }
     }
 
@@ -164,10 +164,10 @@
         generations.sort_by(|a, b| (a.1, &a.0).cmp(&(b.1, &b.0)));
         let seconds_per_token = engine.bytes_per_token / engine.link_bytes_per_second.max(1.0);
         let first_reported_at = self
-            .reported
+            .report
             .as_ref()
-            .map_or(now, |reported| reported.first_reported_at);
-        self.reported = Some(ReportedGenerations {
+            .map_or(now, |report| report.first_reported_at);
+        self.report = Some(ReportedGenerations {
             first_reported_at,
             generations,
             free_local_tokens,
@@ -184,7 +184,7 @@
     /// Returns whether the engine has reported its generations.
     #[must_use]
     pub fn is_reported(&self) -> bool {
-        self.reported.is_some()
+        self.report.is_some()
     }
 
     /// Returns the latest time to request stop-and-copy phases, whether or not the link
@@ -198,21 +198,21 @@
     /// the copies before it are expected to be done.
     #[must_use]
     pub fn begins_at(&self, id: &str) -> Time {
-        let starts_at = |reported: &ReportedGenerations| {
-            reported.first_reported_at + reported.scheduled_copy(id).offset
+        let starts_at = |report: &ReportedGenerations| {
+            report.first_reported_at + report.scheduled_copy(id).offset
         };
-        self.reported.as_ref().map_or(self.noticed_at, starts_at)
+        self.report.as_ref().map_or(self.noticed_at, starts_at)
     }
 
     /// Returns whether the pre-copy of a generation with `tokens` tokens would be done by
     /// [`last_call`](Self::last_call) if requested at `now`.
     #[must_use]
     pub fn fits(&self, now: Time, id: &str, tokens: f64) -> bool {
-        let Some(reported) = &self.reported else {
+        let Some(report) = &self.report else {
             return now < self.last_call();
         };
-        let scheduled_copy = reported.scheduled_copy(id);
-        let starts_at = now.max(reported.first_reported_at + scheduled_copy.offset);
-        starts_at + reported.copy_duration(tokens, scheduled_copy.same_domain) <= self.last_call()
+        let scheduled_copy = report.scheduled_copy(id);
+        let starts_at = now.max(report.first_reported_at + scheduled_copy.offset);
+        starts_at + report.copy_duration(tokens, scheduled_copy.same_domain) <= self.last_call()
     }
 }
