--- a/trouttrack_core/src/routing/baselines.rs
+++ b/trouttrack_core/src/routing/baselines.rs
@@ -1,9 +1,9 @@
-//! Well-known policies, kept to measure against.
+//! Well-known load-balancing policies, used as baselines in comparisons.
 
 use super::policy::{Candidate, Policy};
 use rand::{Rng, RngExt};
 
-/// Any candidate.
+/// Chooses a candidate uniformly at random.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RandomChoice;
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// Each candidate in turn.
+/// Chooses the candidates in turn.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoundRobin {
     turn: usize,
@@ -44,7 +44,7 @@
     }
 }
 
-/// The candidate with the fewest requests.
+/// Chooses the candidate with the fewest running requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastOutstanding;
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// The better of two random candidates.
+/// Chooses the less loaded of two random candidates (power of two choices).
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TwoChoices;
 
--- a/trouttrack_core/src/routing/explain.rs
+++ b/trouttrack_core/src/routing/explain.rs
@@ -1,40 +1,40 @@
-//! Why a request went where it went, kept for a while.
+//! Records of recent routing decisions, for inspection.
 
 use crate::{RequestId, Time, UpstreamId};
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, VecDeque};
 
-/// One candidate of a decision.
+/// A candidate considered in a decision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CandidateNote {
     /// The upstream.
     pub upstream: UpstreamId,
     /// Its score; lower is better.
     pub score: f64,
-    /// Requests estimated to run there.
+    /// Estimated number of requests running there.
     pub running: usize,
-    /// Forecast memory over capacity.
+    /// Forecast peak memory use as a fraction of capacity.
     pub fill: f64,
-    /// Whether the request fitted.
+    /// Whether the request fits.
     pub fits: bool,
 }
 
-/// One decision about one request.
+/// A routing decision for a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// When it was made.
+    /// When the decision was made.
     pub at: Time,
-    /// How long the request had waited.
+    /// How long the request had been queued.
     pub waited: Time,
-    /// The rule that won, in words.
+    /// Description of the rule that decided.
     pub rule: String,
     /// The chosen upstream, if any.
     pub chosen: Option<UpstreamId>,
-    /// What was weighed.
+    /// The candidates considered.
     pub candidates: Vec<CandidateNote>,
 }
 
-/// The last decisions, bounded by count.
+/// The most recent decisions, for a bounded number of requests.
 ///
 /// # Examples
 ///
@@ -45,29 +45,29 @@
 /// ```
 #[derive(Debug)]
 pub struct ExplanationTable {
-    most: usize,
+    max_requests: usize,
     order: VecDeque<RequestId>,
     by_request: HashMap<RequestId, Vec<Explanation>>,
 }
 
 impl ExplanationTable {
-    /// A table for decisions about at most `most` requests.
+    /// Creates a table that holds the decisions for at most `max_requests` requests.
     #[must_use]
-    pub fn new(most: usize) -> Self {
+    pub fn new(max_requests: usize) -> Self {
         Self {
-            most,
+            max_requests,
             order: VecDeque::new(),
             by_request: HashMap::new(),
         }
     }
 
-    /// Keeps a decision; the oldest request's are forgotten when full.
+    /// Records a decision. When full, evicts the decisions for the oldest request.
     pub fn keep(&mut self, request: &str, explanation: Explanation) {
         if let Some(list) = self.by_request.get_mut(request) {
             list.push(explanation);
             return;
         }
-        if self.order.len() >= self.most
+        if self.order.len() >= self.max_requests
             && let Some(oldest) = self.order.pop_front()
         {
             self.by_request.remove(&oldest);
@@ -77,7 +77,7 @@
             .insert(request.to_owned(), vec![explanation]);
     }
 
-    /// The decisions about a request, oldest first.
+    /// Returns the decisions for a request, oldest first.
     #[must_use]
     pub fn of(&self, request: &str) -> &[Explanation] {
         self.by_request.get(request).map_or(&[], Vec::as_slice)
--- a/trouttrack_core/src/routing/policy.rs
+++ b/trouttrack_core/src/routing/policy.rs
@@ -1,4 +1,4 @@
-//! The trait that routing policies implement, and the choice among them.
+//! The trait implemented by routing policies, and selection of a policy by name.
 
 use super::baselines::{LeastOutstanding, RandomChoice, RoundRobin, TwoChoices};
 use super::score::{Scored, Weights};
@@ -7,54 +7,54 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// An upstream that may be chosen, as the policies see it.
+/// An upstream that may be chosen, with the values that policies compare.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
     /// The upstream.
     pub upstream: UpstreamKey,
-    /// Requests estimated to run there.
+    /// Estimated number of requests running there.
     pub running: usize,
-    /// The most requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub max_running: usize,
-    /// Forecast memory over capacity, this request included.
+    /// Forecast peak memory use as a fraction of capacity, including this request.
     pub fill: f64,
-    /// Whether the forecast leaves the room that the request's class must leave.
+    /// Whether the forecast leaves the reserve required for the request's class.
     pub fits: bool,
-    /// Whether it stands in the caller's failure domain.
+    /// Whether it is in the caller's failure domain.
     pub local: bool,
-    /// Upstreams of the service in the caller's failure domain, in parts of those
-    /// that are looked at for a choice; at least 1.
+    /// Number of upstreams of the service in the caller's failure domain, divided by the
+    /// number sampled for a choice; at least 1.
     pub alternatives: f64,
-    /// Seconds until it has loaded the prompts that it was given.
+    /// Estimated seconds until its pending prompts are prefilled.
     pub backlog: f64,
-    /// How cold it still is after its start, from 1 to 0 (warm).
+    /// Remaining warm-up after its start, from 1 (fully cold) to 0 (warm).
     pub cold: f64,
 }
 
-/// Chooses among candidates.
+/// A routing policy.
 pub trait Policy {
-    /// Whether requests wait while no candidate fits.
+    /// Whether requests are queued while no candidate fits.
     const HOLDS_BACK: bool;
 
-    /// Returns the position of the chosen candidate, or `None` to wait.
+    /// Returns the index of the chosen candidate, or `None` to leave the request queued.
     fn choose<R: Rng>(&mut self, candidates: &[Candidate], rng: &mut R) -> Option<usize>;
 
-    /// The score that the choice was made by; lower is better.
+    /// Returns the score by which candidates are compared; lower is better.
     fn score(&self, candidate: &Candidate) -> f64;
 }
 
-/// A policy named in the settings.
+/// A policy selected in the settings.
 #[derive(Clone, Debug)]
 pub enum AnyPolicy {
-    /// Trouttrack's own.
+    /// Trouttrack's default policy.
     Scored(Scored),
-    /// Baseline.
+    /// Uniformly random.
     Random(RandomChoice),
-    /// Baseline.
+    /// Each candidate in turn.
     RoundRobin(RoundRobin),
-    /// Baseline.
+    /// Fewest running requests.
     LeastOutstanding(LeastOutstanding),
-    /// Baseline.
+    /// Less loaded of two random candidates.
     TwoChoices(TwoChoices),
 }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// The name is not that of a policy.
+/// Error for an unknown policy name.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error(
     "unknown policy `{0}`; known are trouttrack, random, round-robin, least-outstanding, two-choices"
@@ -94,7 +94,7 @@
 }
 
 impl AnyPolicy {
-    /// The same policy with other weights of its score, if it has any.
+    /// Returns the policy with other score weights; baselines, which have none, are unchanged.
     #[must_use]
     pub fn weighted(self, weights: Weights) -> Self {
         match self {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Whether requests wait while no candidate fits.
+    /// As [`Policy::HOLDS_BACK`].
     #[must_use]
     pub fn holds_back(&self) -> bool {
         match self {
--- a/trouttrack_core/src/routing/score.rs
+++ b/trouttrack_core/src/routing/score.rs
@@ -1,29 +1,29 @@
-//! Trouttrack's own policy: a few sampled candidates, scored.
+//! The default policy: scores a few sampled candidates.
 
 use super::policy::{Candidate, Policy};
 use rand::{Rng, RngExt};
 
-/// Candidates that fit and are looked at for each choice, from a random place
-/// on: few, so that gateways that see the same lagging report do not all run
-/// to the same upstream.
-const SAMPLE: usize = 6;
+/// Number of fitting candidates that are scored for each choice, starting at a random index. A
+/// small sample keeps gateways with the same outdated report from all choosing the same
+/// upstream.
+const SAMPLE_SIZE: usize = 6;
 
-/// What each part of a score counts.
+/// Weights of the terms of a score.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Weights {
-    /// Running requests over the most that may run.
+    /// Weight of running requests as a fraction of the maximum.
     pub running: f64,
-    /// Forecast memory over capacity.
+    /// Weight of forecast peak memory use as a fraction of capacity.
     pub fill: f64,
-    /// Added when the upstream stands in another failure domain, times the
-    /// alternatives nearby: the more there are, the likelier one of them is as good,
-    /// and what runs in another failure domain is lost or held up when that is cut
-    /// off. With 19 engines in each failure domain, 1,394 of 14,297 long generations
-    /// were lost and 494 late in place of 1,442 and 605, on ten days with a cut.
+    /// Penalty for an upstream in another failure domain, multiplied by the alternatives in
+    /// the caller's. The more alternatives there are, the likelier one is equally good, while
+    /// requests in another failure domain are lost or delayed when it is partitioned. With 19
+    /// engines per failure domain, on ten days with a partition, 1,394 of 14,297 long
+    /// generations were lost and 494 late, instead of 1,442 and 605.
     pub remote: f64,
-    /// Added for each second of prompts still to be loaded.
+    /// Penalty per second of pending prefill.
     pub backlog: f64,
-    /// Added for an upstream that has just started; less as it warms up.
+    /// Penalty for an upstream that has just started; decreases as it warms up.
     pub cold: f64,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// Scores sampled candidates and takes the best one that fits.
+/// Scores sampled candidates that fit and chooses the best.
 ///
 /// # Examples
 ///
@@ -50,7 +50,7 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Scored {
-    /// What each part of the score counts.
+    /// Weights of the terms of the score.
     pub weights: Weights,
 }
 
@@ -73,7 +73,7 @@
             if best.is_none_or(|b| self.score(&candidates[i]) < self.score(&candidates[b])) {
                 best = Some(i);
             }
-            if seen == SAMPLE {
+            if seen == SAMPLE_SIZE {
                 break;
             }
         }
--- a/trouttrack_core/src/upstream/backlog.rs
+++ b/trouttrack_core/src/upstream/backlog.rs
@@ -1,25 +1,27 @@
-//! Prompts that are still to be loaded, as peers tell of them.
+//! Prompt tokens awaiting prefill, as reported by peers.
 
 use crate::Time;
 
-/// Prompt tokens that an engine loads in a second beside the generations that it runs.
-/// Five to eight of those are usual: the users' engines then take 0.2 to 0.3 s for a
-/// thousand tokens, at a load at which nine in ten begin in time.
-const LOADED_PER_SECOND: f64 = 5_000.0;
-
-/// A peer tells at once that a prompt is loaded, or that its request has ended. It counts
-/// whole until then: an engine loads the prompts of several peers one after the other,
-/// and taking each to shrink at the rate above, all at the same time, saw a quarter of
-/// what was there (649 tokens in the mean, 2,765 by the logs). This is when the word
-/// must have been lost: several heartbeats.
-const SURELY_TOLD: Time = Time::from_secs(2);
-
-/// How long it takes to load so many prompt tokens.
-pub(super) fn seconds_to_load(tokens: f64) -> f64 {
-    tokens / LOADED_PER_SECOND
+/// Prefill throughput of an engine while it also runs generations, typically five to eight.
+/// Production engines then take 0.2 to 0.3 s per thousand prompt tokens, at a load where
+/// nine in ten requests get their first token in time.
+const PREFILL_TOKENS_PER_SECOND: f64 = 5_000.0;
+
+/// Age after which a reported backlog counts as empty: several heartbeats, by when an update
+/// must have been lost.
+///
+/// Peers report immediately when a prompt is loaded or its request ends, and the backlog
+/// counts in full until then. An engine loads the prompts of several peers one after the
+/// other, so letting all backlogs shrink at once at the prefill rate underestimates the
+/// total by a factor of four (mean 649 tokens estimated, 2,765 in the logs).
+const REPORT_EXPIRY: Time = Time::from_secs(2);
+
+/// Estimated prefill time for `tokens` prompt tokens, in seconds.
+pub(super) fn prefill_seconds(tokens: f64) -> f64 {
+    tokens / PREFILL_TOKENS_PER_SECOND
 }
 
-/// Prompt tokens that an engine had still to load at a time.
+/// Number of prompt tokens awaiting prefill at an engine, with the time of the observation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Backlog {
     tokens: f64,
@@ -27,19 +29,19 @@
 }
 
 impl Backlog {
-    /// So many tokens as of a time.
+    /// Creates a backlog of `tokens` observed at `at`.
     pub(crate) fn of(at: Time, tokens: f64) -> Self {
         Self { tokens, at }
     }
 
-    /// The time as of which it is known.
-    pub(super) fn at(&self) -> Time {
+    /// Returns the time of the observation.
+    pub(super) fn observed_at(&self) -> Time {
         self.at
     }
 
-    /// The tokens still to be loaded at `now`, if nobody told since.
+    /// Returns the tokens still awaiting prefill at `now`, assuming no update since.
     pub(crate) fn tokens(&self, now: Time) -> f64 {
-        match now.saturating_sub(self.at) < SURELY_TOLD {
+        match now.saturating_sub(self.at) < REPORT_EXPIRY {
             true => self.tokens,
             false => 0.0,
         }
--- a/trouttrack_core/src/upstream/circuit.rs
+++ b/trouttrack_core/src/upstream/circuit.rs
@@ -1,27 +1,27 @@
-//! Whether an upstream is given work, judged by its recent failures.
+//! Circuit breaker of an upstream.
 
 use crate::Time;
 use std::time::Duration;
 
-/// Failures in a row that open a circuit.
-const OPEN_AFTER: u32 = 5;
-/// The first pause of an open circuit; it doubles with each further failure.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
-/// The longest pause of an open circuit.
-const LONGEST_PAUSE: Duration = Duration::from_secs(15);
+/// Number of consecutive failures that opens a circuit.
+const FAILURE_THRESHOLD: u32 = 5;
+/// How long a circuit first stays open; doubles with each further failure.
+const INITIAL_OPEN_TIME: Duration = Duration::from_millis(500);
+/// Maximum time that a circuit stays open.
+const MAX_OPEN_TIME: Duration = Duration::from_secs(15);
 
 /// The state of a [`Circuit`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CircuitState {
-    /// Work is given.
+    /// Requests are sent.
     Closed,
-    /// No work is given.
+    /// No requests are sent.
     Open,
-    /// One trial request is given.
+    /// One trial request is sent.
     HalfOpen,
 }
 
-/// Counts failures in a row and pauses an upstream that keeps failing.
+/// Counts consecutive failures and stops requests to an upstream that keeps failing.
 ///
 /// # Examples
 ///
@@ -42,29 +42,28 @@
 }
 
 impl Circuit {
-    /// An attempt succeeded.
+    /// Records a successful attempt.
     pub fn succeeded(&mut self) {
         self.failures = 0;
     }
 
-    /// An attempt failed for a reason that speaks against the upstream.
+    /// Records an attempt that failed through a fault of the upstream.
     pub fn failed(&mut self, now: Time) {
         self.failures = self.failures.saturating_add(1);
-        if self.failures >= OPEN_AFTER {
-            let doublings = (self.failures - OPEN_AFTER).min(5);
-            self.open_until = now + (FIRST_PAUSE * (1 << doublings)).min(LONGEST_PAUSE);
+        if self.failures >= FAILURE_THRESHOLD {
+            let doublings = (self.failures - FAILURE_THRESHOLD).min(5);
+            self.open_until = now + (INITIAL_OPEN_TIME * (1 << doublings)).min(MAX_OPEN_TIME);
         }
     }
 
-    /// An attempt found nobody there: no connection, or no word until its time
-    /// was over. Each such attempt costs a caller its answer, so the circuit
-    /// opens at once.
+    /// Records an attempt that could not connect, or got no response before its time-out.
+    /// Each such attempt costs a caller its response, so the circuit opens immediately.
     pub fn unreachable(&mut self, now: Time) {
-        self.failures = self.failures.max(OPEN_AFTER - 1);
+        self.failures = self.failures.max(FAILURE_THRESHOLD - 1);
         self.failed(now);
     }
 
-    /// When work may be given again: at once unless the circuit is open.
+    /// Returns when requests may be sent again: `now` unless the circuit is open.
     #[must_use]
     pub fn reopens_at(&self, now: Time) -> Time {
         match self.state(now) {
@@ -73,10 +72,10 @@
         }
     }
 
-    /// The state at `now`.
+    /// Returns the state at `now`.
     #[must_use]
     pub fn state(&self, now: Time) -> CircuitState {
-        if self.failures < OPEN_AFTER {
+        if self.failures < FAILURE_THRESHOLD {
             CircuitState::Closed
         } else if now < self.open_until {
             CircuitState::Open
--- a/trouttrack_core/src/upstream/incarnation.rs
+++ b/trouttrack_core/src/upstream/incarnation.rs
@@ -1,9 +1,10 @@
-//! One life of an upstream.
+//! Identity of one run of an upstream between restarts.
 
 use crate::UpstreamId;
 use serde::{Deserialize, Serialize};
 
-/// One life of an upstream: it may start again under the id that it had.
+/// One run of an upstream. An upstream may restart under the same id; the start time tells
+/// its incarnations apart.
 ///
 /// # Examples
 ///
@@ -19,19 +20,19 @@
 pub struct Incarnation {
     /// The upstream's id.
     pub id: UpstreamId,
-    /// When it started, in Unix milliseconds by its own clock; 0 if it does not say.
+    /// Start time in Unix milliseconds by the upstream's own clock; 0 if not reported.
     pub born: u64,
 }
 
 impl Incarnation {
-    /// Whether this is a later life of the same upstream than `other`. One that does not
-    /// say when it started is neither earlier nor later.
+    /// Returns whether this is a later incarnation of the same upstream than `other`. An
+    /// unknown start time (0) counts as earlier than any known one.
     #[must_use]
     pub fn is_after(&self, other: &Self) -> bool {
         self.id == other.id && other.born != 0 && self.born > other.born
     }
 
-    /// The life that began at `born`.
+    /// Creates the incarnation of `id` that started at `born`.
     #[must_use]
     pub fn new(id: &str, born: u64) -> Self {
         Self {
--- a/trouttrack_core/src/upstream/losses.rs
+++ b/trouttrack_core/src/upstream/losses.rs
@@ -1,30 +1,29 @@
-//! Requests lost with their connection or turned away, put together from several VMs.
+//! Failure detection from requests that several VMs lost or had refused.
 //!
-//! An upstream that goes down and comes up again loses the requests that it has. In
-//! a large fleet each VM sends it few, so that no VM by itself sees enough failures
-//! in a row to open its circuit before the upstream is back. So VMs tell each other
-//! when a connection ended before any answer, and two that say so are believed.
+//! An upstream that restarts loses the requests that it is running. In a large fleet each VM
+//! sends it few requests, so no single VM sees enough consecutive failures to open its circuit
+//! before the upstream is back. VMs therefore report to each other when a connection ended
+//! before any response, and an upstream that two VMs report is suspected.
 //!
-//! So it is with an upstream that turns requests away: at 295 VMs before 196 upstreams each
-//! VM sends it one every two seconds, and learns nothing from its own refusals. In the model
-//! of such a service 19,734 of 157,447 calls are turned away where each VM goes by its own,
-//! and 5,631 where two in a failure domain are believed (64 VMs: 2,111 and 878 of 33,716).
+//! The same applies to refused requests: with 295 VMs and 196 upstreams, each VM sends an
+//! upstream one request every two seconds, too few to learn from its own refusals. In a model
+//! of such a service, 19,734 of 157,447 calls are refused if each VM uses only its own
+//! observations, and 5,631 if two VMs of a failure domain suffice (with 64 VMs: 2,111 and 878
+//! of 33,716).
 //!
-//! With 66 VMs before 61 upstreams, of which one goes down and up on some of ten
-//! days, 676 of 49,304 plain calls that may not be repeated were lost with it and 944
-//! without.
+//! With 66 VMs and 61 upstreams, one of which restarts on some of ten days, 676 of 49,304
+//! non-idempotent plain calls were lost with this detection and 944 without it.
 
 use crate::Time;
 use std::time::Duration;
 
-/// How long a loss speaks against an upstream: as long as the first pause of a
-/// circuit.
-const REMEMBERED: Duration = Duration::from_millis(500);
-/// VMs that have lost a connection lately, this one included, from which on an
-/// upstream gets no new work. One alone may be at fault itself.
-const BELIEVED: usize = 2;
+/// How long a loss counts against an upstream: as long as a circuit first stays open.
+const LOSS_WINDOW: Duration = Duration::from_millis(500);
+/// Number of VMs with a recent loss, including this one, at which an upstream is suspected. A
+/// single VM may itself be at fault.
+const SUSPECT_THRESHOLD: usize = 2;
 
-/// What this VM has seen of its own requests at an upstream.
+/// Outcomes of this VM's requests at an upstream.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Losses {
     lost_at: Option<Time>,
@@ -32,30 +31,30 @@
 }
 
 impl Losses {
-    /// A connection ended with a request on it before any answer, or the request was turned
-    /// away.
+    /// Records that a connection ended with a request on it before any response, or that the
+    /// request was refused.
     pub(crate) fn lost(&mut self, now: Time) {
         self.lost_at = Some(now);
     }
 
-    /// A request was answered.
+    /// Records that a request was answered.
     pub(crate) fn answered(&mut self, now: Time) {
         self.answered_at = Some(now);
     }
 
-    /// How long ago the last loss was, if it still speaks against the upstream.
+    /// Returns the age of the last loss, if it still counts against the upstream.
     pub(crate) fn age(&self, now: Time) -> Option<Duration> {
         let age = now.saturating_sub(self.lost_at?);
-        (age < REMEMBERED).then_some(age)
+        (age < LOSS_WINDOW).then_some(age)
     }
 
-    /// Whether enough VMs have lost connections since this one was last answered;
-    /// `peers` are the times of theirs.
+    /// Returns whether enough VMs have had a loss since this VM's last answered request;
+    /// `peers` are the times of the peers' losses.
     pub(crate) fn suspected(&self, now: Time, peers: impl Iterator<Item = Time>) -> bool {
         let counts = |at: &Time| {
-            let recent = now.saturating_sub(*at) < REMEMBERED;
+            let recent = now.saturating_sub(*at) < LOSS_WINDOW;
             recent && self.answered_at.is_none_or(|answered| answered < *at)
         };
-        peers.chain(self.lost_at).filter(counts).count() >= BELIEVED
+        peers.chain(self.lost_at).filter(counts).count() >= SUSPECT_THRESHOLD
     }
 }
--- a/trouttrack_core/src/upstream/mod.rs
+++ b/trouttrack_core/src/upstream/mod.rs
@@ -1,9 +1,10 @@
-//! The table of upstreams: engines and plain services.
+//! Upstreams (engines and plain services): their state, load and limits.
 
 mod backlog;
 mod circuit;
 mod incarnation;
 mod losses;
+mod notices;
 mod rate_limit;
 mod refusals;
 mod row;
@@ -11,11 +12,11 @@
 mod shared_rate;
 mod spec;
 mod table;
-mod words;
 
 pub(crate) use backlog::Backlog;
 pub use circuit::{Circuit, CircuitState};
 pub use incarnation::Incarnation;
+pub use notices::{LONGEST_PAUSE, Said, Word, Words};
 pub use rate_limit::{RateLimit, RateStatement, ToldLimit};
 pub use row::{Upstream, UpstreamKey};
 pub use runs::OwnRun;
@@ -24,4 +25,3 @@
 pub(crate) use shared_rate::ToldHandovers;
 pub use spec::{Report, Spec};
 pub use table::{Serving, UpstreamTable};
-pub use words::{LONGEST_PAUSE, Said, Word, Words};
--- a/trouttrack_core/src/upstream/rate_limit.rs
+++ b/trouttrack_core/src/upstream/rate_limit.rs
@@ -1,29 +1,30 @@
-//! The rate of requests that an upstream in need asks for.
+//! Request rate limits that overloaded upstreams announce.
 
 use super::incarnation::Incarnation;
 use crate::Time;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The longest that a VM's word of a limit is taken to be on its way. What it tells of is dated
-/// back by that, so that a word that comes back to its teller is never newer than its own.
-const ON_ITS_WAY: Duration = Duration::from_millis(50);
-/// How long before this process started the first moment lies that a statement may be of:
-/// peers tell of what they heard before.
-const EARLIEST: Duration = Duration::from_secs(24 * 3600);
+/// Assumed maximum transit time of a peer's report of a limit. Reported times are moved back by
+/// it, so that a report that returns to its sender is never newer than the sender's own
+/// statement.
+const MAX_TRANSIT_TIME: Duration = Duration::from_millis(50);
+/// Offset added to all statement times, so that statements that peers received up to this long
+/// before this process started can be represented.
+const TIME_OFFSET: Duration = Duration::from_secs(24 * 3600);
 
-/// The requests that an upstream takes from all VMs together.
+/// The request rate that an upstream accepts from all VMs together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum RateLimit {
-    /// As many as come.
+    /// No limit.
     #[default]
     Unlimited,
-    /// So many a second.
+    /// Maximum number of requests per second.
     PerSecond(f64),
 }
 
 impl RateLimit {
-    /// The requests a second, if they are limited.
+    /// Returns the limit in requests per second, if there is one.
     #[must_use]
     pub fn per_second(self) -> Option<f64> {
         match self {
@@ -32,18 +33,18 @@
         }
     }
 
-    /// Whether there is a limit.
+    /// Returns whether there is a limit.
     #[must_use]
     pub fn is_limited(self) -> bool {
         self.per_second().is_some()
     }
 }
 
-/// What an upstream said of its limit, and when it said so at the earliest and latest.
+/// A limit announced by an upstream, with the interval in which the upstream announced it.
 ///
-/// Answers overtake each other, and VMs tell each other of them. A limit ends only by an
-/// answer that is surely newer than the last one that named it: one to a request that was
-/// sent after that had been heard.
+/// Responses may arrive out of order, and VMs forward limits to each other. A limit therefore
+/// ends only with a response that is certainly newer than the last one that named the limit:
+/// a response to a request that was sent after that one had been received.
 ///
 /// # Examples
 ///
@@ -61,26 +62,26 @@
 pub struct RateStatement {
     /// The limit.
     pub limit: RateLimit,
-    /// When the request was sent that it was said in answer to, from `EARLIEST` on.
+    /// When the request was sent whose response carried the limit, offset by `TIME_OFFSET`.
     asked_at: Time,
-    /// When it was heard, from `EARLIEST` on.
+    /// When that response was received, offset by `TIME_OFFSET`.
     heard_at: Time,
 }
 
 impl RateStatement {
-    /// What was said in answer to a request that was sent at `asked_at`, and heard at
-    /// `heard_at`.
+    /// Creates the statement carried by a response that was received at `heard_at`, to a
+    /// request that was sent at `asked_at`.
     #[must_use]
     pub fn new(limit: RateLimit, asked_at: Time, heard_at: Time) -> Self {
         Self {
             limit,
-            asked_at: EARLIEST + asked_at,
-            heard_at: EARLIEST + heard_at,
+            asked_at: TIME_OFFSET + asked_at,
+            heard_at: TIME_OFFSET + heard_at,
         }
     }
 
-    /// Whether it is to be believed instead of another one of the same upstream. Of two
-    /// that may have been said in either order, the one that names a limit is.
+    /// Returns whether this statement supersedes `other` of the same upstream. If their order
+    /// is uncertain, the one with a limit takes precedence.
     #[must_use]
     pub fn replaces(&self, other: &Self) -> bool {
         match (self.limit.is_limited(), other.limit.is_limited()) {
@@ -91,7 +92,7 @@
     }
 }
 
-/// What one VM tells another of an upstream's limit; times are told as ages.
+/// An upstream's limit as one VM reports it to another; times are sent as ages.
 ///
 /// # Examples
 ///
@@ -109,21 +110,21 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ToldLimit {
-    /// The upstream's life.
+    /// The incarnation of the upstream.
     pub life: Incarnation,
-    /// The requests a second that it takes from all VMs together, if they are limited.
+    /// Requests per second that it accepts from all VMs together, if limited.
     pub per_second: Option<f64>,
-    /// How long ago the request was sent that it was said in answer to, in milliseconds.
+    /// Time since the request was sent whose response carried the limit, in milliseconds.
     pub asked_ms: u64,
-    /// How long ago it was heard, in milliseconds.
+    /// Time since that response was received, in milliseconds.
     pub heard_ms: u64,
 }
 
 impl ToldLimit {
-    /// Tells what is known at `now` of a life.
+    /// Creates the report of a statement at `now`.
     #[must_use]
     pub fn new(life: &Incarnation, statement: &RateStatement, now: Time) -> Self {
-        let age = |at: Time| (EARLIEST + now).saturating_sub(at).as_millis() as u64;
+        let age = |at: Time| (TIME_OFFSET + now).saturating_sub(at).as_millis() as u64;
         Self {
             life: life.clone(),
             per_second: statement.limit.per_second(),
@@ -132,10 +133,10 @@
         }
     }
 
-    /// The statement as of this VM's clock, if it was told at `now`.
+    /// Converts a report received at `now` to a statement on this VM's clock.
     #[must_use]
     pub fn statement(&self, now: Time) -> RateStatement {
-        let at = |ms| (EARLIEST + now).saturating_sub(Time::from_millis(ms) + ON_ITS_WAY);
+        let at = |ms| (TIME_OFFSET + now).saturating_sub(Time::from_millis(ms) + MAX_TRANSIT_TIME);
         RateStatement {
             limit: self
                 .per_second
--- a/trouttrack_core/src/upstream/refusals.rs
+++ b/trouttrack_core/src/upstream/refusals.rs
@@ -1,65 +1,66 @@
-//! Requests that an upstream turns away without running them.
+//! Exponential backoff for upstreams that refuse requests without running them.
 //!
-//! A refusal comes at once, so an upstream that refuses has nothing running and, if a refusal
-//! counted as a good end, a clean record: it would be taken for the best one there is. So it
-//! is left alone for a moment, for longer with each refusal in a row, and then tried with one
-//! request. An upstream that names a pause is left alone for that long, see
-//! [`Words`](super::Words), and then tried in the same way.
+//! Refusals return immediately, so a refusing upstream has nothing running and, if a refusal
+//! counted as success, no failures: the router would prefer it to all others. Instead it gets
+//! no requests for a backoff period that grows with each consecutive refusal, and then a
+//! single trial request. An upstream that names a pause gets no requests for that long, see
+//! [`Words`](super::Words), and then a trial request as well.
 
 use crate::Time;
 use std::time::Duration;
 
-/// The first pause after a refusal that names none: what refused callers are told to wait.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// Doublings of that pause, up to 1.6 s: upstreams that name a pause ask for some seconds,
-/// and one that names none may have room again at any time.
-const DOUBLINGS: u32 = 4;
+/// Backoff after the first refusal that names no pause, equal to the retry delay that refused
+/// callers are given.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+/// Maximum number of backoff doublings, which caps the backoff at 1.6 s. Upstreams that name a
+/// pause ask for several seconds; one that names none may have capacity again at any time.
+const MAX_DOUBLINGS: u32 = 4;
 
-/// An upstream's refusals in a row, as one VM has met them.
+/// Consecutive refusals by an upstream, as seen by this VM.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Refusals {
-    in_a_row: u32,
-    /// Until when it is left alone.
-    until: Time,
-    /// Whether a request is there to see if it still refuses.
-    tried: bool,
+    consecutive: u32,
+    /// End of the backoff.
+    backoff_until: Time,
+    /// Whether a trial request is in flight.
+    trial_in_flight: bool,
 }
 
 impl Refusals {
-    /// It refused a request. Those that were sent together and are refused together count
-    /// once.
+    /// Records a refusal. Refusals during the backoff are not counted, so that requests that
+    /// were sent together and refused together count once.
     pub(crate) fn refused(&mut self, now: Time) {
-        self.tried = false;
-        if now < self.until {
+        self.trial_in_flight = false;
+        if now < self.backoff_until {
             return;
         }
-        let doublings = self.in_a_row.min(DOUBLINGS);
-        self.until = now + FIRST_PAUSE * (1 << doublings);
-        self.in_a_row += 1;
+        let doublings = self.consecutive.min(MAX_DOUBLINGS);
+        self.backoff_until = now + INITIAL_BACKOFF * (1 << doublings);
+        self.consecutive += 1;
     }
 
-    /// It has run a request.
+    /// Records that the upstream has run a request, which resets the backoff.
     pub(crate) fn ran(&mut self) {
         *self = Self::default();
     }
 
-    /// It was given a request.
-    pub(crate) fn given(&mut self) {
-        self.tried = self.in_a_row > 0;
+    /// Records that a request was sent.
+    pub(crate) fn sent(&mut self) {
+        self.trial_in_flight = self.consecutive > 0;
     }
 
-    /// A request ended there, whatever became of it.
+    /// Records the end of a request, whatever its outcome.
     pub(crate) fn ended(&mut self) {
-        self.tried = false;
+        self.trial_in_flight = false;
     }
 
-    /// Whether it may be given a request.
-    pub(crate) fn allow(&self, now: Time) -> bool {
-        now >= self.until && !self.tried
+    /// Returns whether a request may be sent at `now`.
+    pub(crate) fn allows(&self, now: Time) -> bool {
+        now >= self.backoff_until && !self.trial_in_flight
     }
 
-    /// When it may be given a request at the earliest.
-    pub(crate) fn allow_at(&self, now: Time) -> Time {
-        self.until.max(now)
+    /// Returns the earliest time at which a request may be sent.
+    pub(crate) fn retry_at(&self, now: Time) -> Time {
+        self.backoff_until.max(now)
     }
 }
--- a/trouttrack_core/src/upstream/row.rs
+++ b/trouttrack_core/src/upstream/row.rs
@@ -1,76 +1,77 @@
-//! One upstream's row.
+//! State of one upstream.
 
-use super::backlog::seconds_to_load;
+use super::backlog::prefill_seconds;
 use super::circuit::{Circuit, CircuitState};
 use super::incarnation::Incarnation;
 use super::losses::Losses;
+use super::notices::Word;
 use super::rate_limit::RateLimit;
 use super::refusals::Refusals;
 use super::runs::{OwnRun, PeerUse, Teller, peak};
 use super::shared_rate::{Allowance, Handovers, RateShare};
 use super::spec::{Report, Spec};
-use super::words::Word;
 use crate::Time;
 use crate::debug_asserts::assert_positive;
 use crate::membership::UpstreamUse;
 use crate::world::RequestKey;
 use slotmap::new_key_type;
 
-/// An upstream that is slow for this long or longer counts as wholly cold; the
-/// users' upstreams are slow for some seconds after their start.
-const COLD_FOR: Time = Time::from_secs(4);
-/// The lowest limit that is gone by, in requests a second: only the answer to a request can
-/// say that a limit has ended.
-const TRIAL_RATE: f64 = 0.05;
-/// The highest rate that is gone by, in requests a second: more than a VM can hand over.
-const HIGHEST_RATE: f64 = 1e5;
-/// How much others' memory may be taken to rise with the own.
-const LARGEST_RISE: f64 = 1.5;
+/// Remaining warm-up time from which on an upstream counts as fully cold. Production upstreams
+/// are slow for several seconds after their start.
+const FULLY_COLD_TIME: Time = Time::from_secs(4);
+/// Lower bound applied to announced limits, in requests per second. Some requests must still be
+/// sent, because only a response can announce the end of a limit.
+const MIN_RATE_PER_SECOND: f64 = 0.05;
+/// Upper bound applied to rates, in requests per second; more than a VM can hand over.
+const MAX_RATE_PER_SECOND: f64 = 1e5;
+/// Maximum growth ratio of this VM's memory use that is applied to that of other VMs.
+const MAX_GROWTH_RATIO: f64 = 1.5;
 
 new_key_type! {
-    /// Key of an upstream's row in this process.
+    /// Key of an upstream in this process's table.
     pub struct UpstreamKey;
 }
 
-/// One upstream as this process sees it.
+/// State of an upstream as known to this process.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// What the configuration says.
+    /// Configuration.
     pub spec: Spec,
-    /// The last report.
+    /// Last load report.
     pub report: Report,
-    /// Hand-overs of this process that have not ended.
+    /// Number of requests that this process has handed over and that have not ended.
     pub own_running: usize,
-    /// Where this process's running requests stand.
+    /// Progress of this process's running requests.
     pub(crate) own: Vec<OwnRun>,
-    /// What peers last said of their use; those that use it.
+    /// Last reported use by each peer that uses it.
     pub(crate) peers: Vec<PeerUse>,
-    /// Whether peers tell their use, so that none told means none.
+    /// Whether peers report their use, so that a missing report means no use.
     hears_peers: bool,
-    /// Hand-overs since the last report.
+    /// Requests handed over since the last report.
     pub since_report: usize,
-    /// Ends since the last report.
+    /// Requests ended since the last report.
     pub ended_since_report: usize,
-    /// Whether others say that it leaves: it gets no new work until they take it back.
+    /// Whether others have marked it as leaving; it gets no new requests until they clear the
+    /// mark.
     pub leaving: bool,
-    /// What it has said of itself.
+    /// Availability announced by the upstream itself.
     pub(crate) word: Word,
-    /// Whether its failure domain is evacuated, so that it gets no new work until that
-    /// is taken back. What runs there ends there.
+    /// Whether its failure domain is being evacuated, so that it gets no new requests until the
+    /// evacuation is revoked. Running requests complete there.
     pub evacuated: bool,
-    /// Its recent failures.
+    /// Circuit breaker.
     pub circuit: Circuit,
-    /// Requests that it has turned away.
+    /// Requests that it has refused.
     pub(crate) refusals: Refusals,
-    /// What was handed over while its rate was bounded.
+    /// Hand-overs while its rate was bounded.
     pub(crate) handovers: Handovers,
-    /// Connections that were lost with a request, here and at peers.
+    /// Requests that this VM lost with their connection or had refused.
     pub(crate) losses: Losses,
     own_at_report: usize,
 }
 
 impl Upstream {
-    /// A row of an upstream that nobody uses yet.
+    /// Creates the state of an unused upstream.
     pub(super) fn new(spec: Spec, hears_peers: bool) -> Self {
         Self {
             spec,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Takes in a report, unless it is older than the last one.
+    /// Applies a load report, unless it is older than the last one.
     pub fn take_report(&mut self, report: Report) {
         if report.at < self.report.at {
             return;
@@ -103,9 +104,9 @@
         self.own_at_report = self.own_running;
     }
 
-    /// Requests running and waiting there now: own ones and those that peers
-    /// told of. Without peers, the last report, plus own hand-overs since, less
-    /// own ends since.
+    /// Estimates the number of requests running and queued there now: this process's and those
+    /// reported by peers. Without peers, takes the last load report, plus this process's
+    /// requests handed over since, minus those ended since.
     #[must_use]
     pub fn estimated_running(&self) -> usize {
         if self.hears_peers {
@@ -118,7 +119,7 @@
             .max(self.own_running)
     }
 
-    /// The same, without calls of peers that have ended by now.
+    /// As `estimated_running`, without calls of peers that should have ended by `now`.
     fn running_at(&self, now: Time) -> usize {
         let is_plain = self.spec.capacity_tokens == 0;
         if !self.hears_peers || !is_plain {
@@ -128,7 +129,7 @@
         self.own_running + peers
     }
 
-    /// Tokens of memory in use by requests of other processes, by the last
+    /// Estimates the tokens of memory used by requests of other processes, from the last
     /// report.
     #[must_use]
     pub fn used_by_others(&self) -> f64 {
@@ -137,12 +138,11 @@
         used * others as f64 / self.report.running.max(1) as f64
     }
 
-    /// The most tokens of memory that its running requests, and `new` if
-    /// given, are forecast to need at any time to come.
+    /// Forecasts the peak memory use, in tokens, of its running requests and of `new` if given.
     ///
-    /// Own requests are followed one by one: each holds what it has written
-    /// until then and gives all back when it ends. Peers tell their own peaks;
-    /// without them, others' memory is taken to rise as the own does.
+    /// This process's requests are modelled one by one: each holds the tokens generated so far
+    /// and frees them all when it ends. Peers report their own peaks; without peers, the use
+    /// by other processes is assumed to grow in the same ratio as this process's.
     #[must_use]
     pub fn peak_tokens(&self, new: Option<OwnRun>) -> f64 {
         let now = self.own_held();
@@ -152,14 +152,14 @@
             return peak + peers;
         }
         let others = self.used_by_others();
-        let rise = match now > 0.0 {
-            true => (self.own_peak() / now).clamp(1.0, LARGEST_RISE),
+        let growth = match now > 0.0 {
+            true => (self.own_peak() / now).clamp(1.0, MAX_GROWTH_RATIO),
             false => 1.0,
         };
-        peak + others * rise
+        peak + others * growth
     }
 
-    /// The forecast memory over capacity; zero for a plain service.
+    /// Returns the forecast peak memory use as a fraction of capacity; 0 for a plain service.
     #[must_use]
     pub fn fill_with(&self, new: Option<OwnRun>) -> f64 {
         match self.spec.capacity_tokens {
@@ -168,75 +168,76 @@
         }
     }
 
-    /// How long it takes from `now` on to load the prompts that this process and
-    /// its peers have handed over.
+    /// Estimates the time from `now`, in seconds, until the prompts that this process and its
+    /// peers have handed over are prefilled.
     #[must_use]
     pub fn loading_seconds(&self, now: Time) -> f64 {
         let peers: f64 = self.peers.iter().map(|p| p.loading.tokens(now)).sum();
-        seconds_to_load(self.own_loading() + peers)
+        prefill_seconds(self.own_loading() + peers)
     }
 
-    /// Prompt tokens of own runs that have not begun to write. That is seen, not
-    /// guessed: an engine that is slow, cold or busy keeps them for longer.
+    /// Returns the prompt tokens of this process's requests without a first token. This is
+    /// observed rather than estimated, as a slow, cold or busy engine takes longer.
     pub(crate) fn own_loading(&self) -> f64 {
         let waiting = self.own.iter().filter(|r| !r.loaded);
         waiting.map(|r| r.tokens).sum()
     }
 
-    /// How long it takes from `now` on to load the prompts that were handed over before
-    /// the newest own one, of so many tokens.
+    /// Estimates the time from `now` until the prompts that were handed over before this
+    /// process's newest request are prefilled; `newest` is that request's prompt length.
     #[must_use]
     pub fn loading_before(&self, now: Time, newest: u64) -> Time {
-        let newest = seconds_to_load(newest as f64);
+        let newest = prefill_seconds(newest as f64);
         Time::from_secs_f64((self.loading_seconds(now) - newest).max(0.0))
     }
 
-    /// The age of the oldest word of a peer that uses it.
+    /// Returns the age of the oldest usage report among the peers that use it.
     #[must_use]
     pub fn oldest_word(&self, now: Time) -> Option<Time> {
         let ages = self
             .peers
             .iter()
-            .map(|p| now.saturating_sub(p.loading.at()));
+            .map(|p| now.saturating_sub(p.loading.observed_at()));
         ages.max()
     }
 
-    /// The most tokens that the own requests are forecast to hold.
+    /// Returns the forecast peak of the tokens held by this process's requests.
     #[must_use]
     pub fn own_peak(&self) -> f64 {
         peak(&self.own, None)
     }
 
-    /// The tokens that the own requests hold now.
+    /// Returns the tokens held by this process's requests.
     pub(crate) fn own_held(&self) -> f64 {
         self.own.iter().map(|r| r.tokens).sum()
     }
 
-    /// How cold it still is after its start, from 1 to 0 (warm).
+    /// Returns the remaining warm-up after its start, from 1 (fully cold) to 0 (warm).
     #[must_use]
     pub fn coldness(&self, now: Time) -> f64 {
         let left = self.spec.warm_at.saturating_sub(now);
-        (left.as_secs_f64() / COLD_FOR.as_secs_f64()).min(1.0)
+        (left.as_secs_f64() / FULLY_COLD_TIME.as_secs_f64()).min(1.0)
     }
 
-    /// Whether it is to get new work at `now`, by its own word and that of operators.
+    /// Returns whether it may get new requests at `now`, by its own notices and operators'
+    /// commands.
     #[must_use]
     pub fn wants_work(&self, now: Time) -> bool {
-        self.stays() && self.word.wants_work(now)
+        self.is_in_service() && self.word.wants_work(now)
     }
 
-    /// The requests that it has said to take from all VMs together.
+    /// Returns the request rate that it has announced to accept from all VMs together.
     #[must_use]
     pub fn named_limit(&self) -> RateLimit {
         self.word.rate_limit()
     }
 
-    /// Whether nobody but itself says that it is to get no new work.
-    fn stays(&self) -> bool {
+    /// Returns whether it is neither marked as leaving nor evacuated.
+    fn is_in_service(&self) -> bool {
         !self.leaving && !self.evacuated
     }
 
-    /// Whether it may be given new work at `now`.
+    /// Returns whether it may be given a new request at `now`.
     #[must_use]
     pub fn open(&self, now: Time) -> bool {
         let trial = match self.circuit.state(now) {
@@ -246,22 +247,22 @@
         };
         let peers = self.peers.iter().filter_map(|p| p.lost_at);
         let suspected = self.losses.suspected(now, peers);
-        let wanted = self.wants_work(now) && self.refusals.allow(now);
+        let wanted = self.wants_work(now) && self.refusals.allows(now);
         wanted && trial && !suspected && self.running_at(now) < self.spec.max_running
     }
 
-    /// The requests a second that it takes from all VMs together, if they are bounded.
+    /// Returns the requests per second that it accepts from all VMs together, if bounded.
     #[must_use]
     pub fn bounded_rate(&self, now: Time) -> Option<f64> {
         let is_cold = self.spec.warm_at > now && self.spec.cold_rate > 0.0;
         let cold = is_cold.then_some(self.spec.cold_rate);
         let named = self.word.rate_limit().per_second();
-        let named = named.map(|rate| rate.max(TRIAL_RATE));
+        let named = named.map(|rate| rate.max(MIN_RATE_PER_SECOND));
         let lowest = cold.into_iter().chain(named).min_by(f64::total_cmp);
-        lowest.map(|rate| rate.min(HIGHEST_RATE))
+        lowest.map(|rate| rate.min(MAX_RATE_PER_SECOND))
     }
 
-    /// Whether one more request is within its bounded rate; `seed` differs from VM to VM.
+    /// Returns whether one more request is within its bounded rate; `seed` differs between VMs.
     pub(crate) fn bears_one_more(
         &self,
         now: Time,
@@ -275,8 +276,8 @@
         allowance.admits(&self.handovers, now, &self.spec.id, seed)
     }
 
-    /// The requests a second that the VMs of a share may hand over together, if its rate is
-    /// bounded.
+    /// Returns the requests per second that the VMs of a share may hand over together, if its
+    /// rate is bounded.
     pub(crate) fn shared_rate(&self, now: Time, share: RateShare, near: bool) -> Option<f64> {
         let allowance = self.allowance(now, share, near)?;
         Some(allowance.per_second)
@@ -288,45 +289,49 @@
         Some(Allowance::of(rate, part, share.vms))
     }
 
-    /// A request is handed over.
+    /// Records that a request is handed over.
     pub(crate) fn given(&mut self, now: Time) {
-        self.refusals.given();
+        self.refusals.sent();
         if self.bounded_rate(now).is_some() {
             self.handovers.given(now);
         }
     }
 
-    /// When it may be given new work at the earliest, as far as is known; `None` if
-    /// it leaves, or nobody knows when its failure domain is taken back.
+    /// Returns the earliest known time at which it may be given a new request; `None` if it is
+    /// leaving or its failure domain is evacuated.
     #[must_use]
     pub fn opens_at(&self, now: Time) -> Option<Time> {
-        let wanted_at = self.word.wants_work_at(now).filter(|_| self.stays())?;
-        let allowed_at = self.refusals.allow_at(now);
+        let wanted_at = self
+            .word
+            .wants_work_at(now)
+            .filter(|_| self.is_in_service())?;
+        let allowed_at = self.refusals.retry_at(now);
         Some(wanted_at.max(allowed_at).max(self.circuit.reopens_at(now)))
     }
 
-    /// The life that it is in.
+    /// Returns its current incarnation.
     pub(crate) fn life(&self) -> Incarnation {
         Incarnation::new(&self.spec.id, self.spec.born)
     }
 
-    /// Peers tell their use from now on.
+    /// Records that peers report their use from now on.
     pub(super) fn hear_peers(&mut self) {
         self.hears_peers = true;
     }
 
-    /// Takes in what a peer says of its use.
+    /// Replaces the reported use of a peer.
     pub(crate) fn take_peer(&mut self, new: PeerUse) {
         self.forget_peer(&new.teller);
         self.peers.push(new);
     }
 
-    /// A peer does not use it any more.
+    /// Removes the reported use of a peer.
     pub(crate) fn forget_peer(&mut self, teller: &Teller) {
         self.peers.retain(|p| p.teller != *teller);
     }
 
-    /// The use by this process and the peers of its failure domain, to be told in one.
+    /// Returns the total use by this process and the peers in its failure domain, to be
+    /// reported as one.
     pub(crate) fn use_by_domain(&self, now: Time) -> UpstreamUse {
         let (mut running, mut peak) = (self.own_running, self.own_peak());
         let mut held = self.own_held();
@@ -355,7 +360,7 @@
         self.own.push(run);
     }
 
-    /// Adds a run whose prompt is loaded already.
+    /// Adds a run whose prompt is already prefilled.
     pub(crate) fn add_loaded(&mut self, run: OwnRun) {
         self.add(OwnRun {
             loaded: true,
@@ -367,7 +372,7 @@
         self.own.iter().find(|r| r.key == key).copied()
     }
 
-    /// Takes what is new of an own run. Returns whether it has just begun to write.
+    /// Updates a run of this process. Returns whether it has just generated its first token.
     pub(crate) fn progress(&mut self, new: OwnRun) -> bool {
         let Some(run) = self.own.iter_mut().find(|r| r.key == new.key) else {
             return false;
--- a/trouttrack_core/src/upstream/shared_rate.rs
+++ b/trouttrack_core/src/upstream/shared_rate.rs
@@ -1,37 +1,40 @@
-//! How many requests an upstream is given whose rate is bounded over all VMs.
+//! Distributed rate limiting: bounds the request rate that all VMs together send to an
+//! upstream.
 //!
-//! An upstream that has just started bears a rate of requests, and falls over well above
-//! it. The rate is one over all VMs, and there is nobody to ask: each VM counts what it
-//! has handed over itself and what peers tell, which they do as they place. The VMs of
-//! the upstream's own failure domain hear of all of it and may use the whole rate
-//! together; those of another one hear each other, and keep to a part that is safe
-//! whatever others do.
+//! An upstream that has just started sustains a limited request rate and fails well above
+//! it. The limit applies to all VMs together, without a coordinator: each VM counts its own
+//! hand-overs and those that peers report as they place requests. The VMs in the upstream's
+//! failure domain receive all of these reports and may use the whole rate together. The VMs
+//! of another failure domain receive only each other's reports, and keep to a share that is
+//! safe whatever the other VMs do.
 
 use super::runs::Teller;
 use crate::Time;
 use std::collections::{HashMap, VecDeque};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// A rate of less than one request in this time is drawn for.
+/// Rates below one request per this period are admitted at random.
 const SECOND: Time = Time::from_secs(1);
-/// The requests of this time may come together.
-const BURST: Time = Time::from_millis(250);
-/// For how long hand-overs are counted.
-const STEADY: Time = Time::from_secs(4);
-/// The most hand-overs that are counted: those of a high rate are repaid in less time.
-const MOST_COUNTED: usize = 256;
-/// The part of a rate that is used: what several VMs place within the milliseconds that it
-/// takes to tell comes on top.
-const USED: f64 = 0.95;
-/// The part of an even share that VMs elsewhere use. With all failure domains but one
-/// elsewhere they use half of the rate before the VMs nearby have heard of it, who then
-/// leave it to them: at most one and a half times the rate in any second.
-const ELSEWHERE: f64 = 0.5;
-/// The part of an even share that VMs use that hear none of their peers: what they hand
-/// over adds up by chance, at times to more than is meant.
-const CHANCE: f64 = 0.5;
-
-/// The parts of a bounded rate that this VM and the peers that it hears may use together.
+/// The requests allowed in this period may arrive as one burst.
+const BURST_PERIOD: Time = Time::from_millis(250);
+/// How long a hand-over is counted.
+const COUNT_WINDOW: Time = Time::from_secs(4);
+/// Maximum number of counted hand-overs. At high rates, older ones no longer affect
+/// admission.
+const MAX_COUNTED: usize = 256;
+/// Fraction of a rate that is used. The rest is headroom for requests that several VMs place
+/// within the milliseconds that a report takes.
+const RATE_UTILIZATION: f64 = 0.95;
+/// Fraction of an even share that VMs of other failure domains use. Together they use at most
+/// half of the rate before the VMs in the upstream's failure domain have heard of it and
+/// yield, so the total is at most one and a half times the rate in any second.
+const REMOTE_FRACTION: f64 = 0.5;
+/// Fraction of an even share that a VM uses while it receives reports from no peer.
+/// Uncoordinated VMs coincide at random, and their sum at times exceeds the intended rate.
+const ISOLATED_FRACTION: f64 = 0.5;
+
+/// The fractions of a bounded rate that this VM and the peers that it hears from may use
+/// together.
 ///
 /// # Examples
 ///
@@ -46,72 +49,73 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateShare {
-    /// Of upstreams in the own failure domain.
+    /// Fraction for upstreams in this VM's failure domain.
     pub near: f64,
-    /// Of upstreams elsewhere.
+    /// Fraction for upstreams in other failure domains.
     pub far: f64,
-    /// The VMs that use these parts together, this one among them.
+    /// Number of VMs that use these fractions together, including this one.
     pub vms: usize,
 }
 
 impl RateShare {
-    /// Nothing: while the number of VMs is not known, any part may be too much.
+    /// No share, used while the number of VMs is unknown: any fraction might be too much.
     pub const NONE: Self = Self {
         near: 0.0,
         far: 0.0,
         vms: 1,
     };
 
-    /// The shares of a VM that hears `heard` of the `near` VMs of its failure domain,
-    /// itself included, in a fleet of `all`.
+    /// Computes the share of a VM that hears from `heard` of the `near` VMs in its failure
+    /// domain (both counts include itself), in a fleet of `all` VMs.
     #[must_use]
     pub fn of(heard: usize, near: usize, all: usize) -> Self {
         let vms = heard.max(1);
         let heard = vms as f64;
         let near = (near as f64).max(heard);
         let all = (all as f64).max(near);
-        let certain = CHANCE + (1.0 - CHANCE) * heard / near;
+        let coordination = ISOLATED_FRACTION + (1.0 - ISOLATED_FRACTION) * heard / near;
         Self {
-            near: heard / near * certain,
-            far: heard / all * ELSEWHERE * certain,
+            near: heard / near * coordination,
+            far: heard / all * REMOTE_FRACTION * coordination,
             vms,
         }
     }
 }
 
-/// What a VM tells of its hand-overs to an upstream whose rate is bounded.
+/// Hand-over counts that a VM reports for an upstream whose rate is bounded.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ToldHandovers {
-    /// All since it started.
+    /// Total since the VM started.
     pub(crate) all: u32,
-    /// Those of the last seconds.
+    /// Number within the last `COUNT_WINDOW`.
     pub(crate) recent: u32,
 }
 
-/// What was handed over to an upstream while its rate was bounded, as far as is known.
+/// Known hand-overs to an upstream while its rate was bounded.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Handovers {
-    /// How many this VM has handed over in all.
+    /// Total number of hand-overs by this VM.
     own: u32,
-    /// When it handed the last ones over.
+    /// Times of this VM's recent hand-overs.
     own_at: VecDeque<Time>,
-    /// How many each peer has told of in all.
+    /// Last reported total of each peer.
     told: HashMap<Teller, u32>,
-    /// When the last ones were handed over or told of.
+    /// Times at which recent hand-overs were made by this VM or reported by peers.
     at: VecDeque<Time>,
 }
 
 impl Handovers {
-    /// This VM hands over a request.
+    /// Records a hand-over by this VM.
     pub(crate) fn given(&mut self, now: Time) {
         self.own = self.own.saturating_add(1);
-        self.own_at.retain(|at| now.saturating_sub(*at) < STEADY);
+        self.own_at
+            .retain(|at| now.saturating_sub(*at) < COUNT_WINDOW);
         self.own_at.push_back(now);
         self.add(now, 1);
     }
 
-    /// A peer tells how many it has handed over, in all and lately. What it told before may
-    /// be unknown, or of a former start of it.
+    /// Records the counts reported by a peer. If its previous total is unknown, or higher
+    /// because the peer has restarted, its recent count is used.
     pub(crate) fn told(&mut self, now: Time, teller: &Teller, told: ToldHandovers) {
         if told.all == 0 {
             return;
@@ -122,16 +126,16 @@
     }
 
     fn add(&mut self, now: Time, count: u32) {
-        self.at.retain(|at| now.saturating_sub(*at) < STEADY);
-        let count = (count as usize).min(MOST_COUNTED);
+        self.at.retain(|at| now.saturating_sub(*at) < COUNT_WINDOW);
+        let count = (count as usize).min(MAX_COUNTED);
         self.at.extend(std::iter::repeat_n(now, count));
-        let older = self.at.len().saturating_sub(MOST_COUNTED);
+        let older = self.at.len().saturating_sub(MAX_COUNTED);
         self.at.drain(..older);
     }
 
-    /// What this VM has handed over, to be told.
+    /// Returns this VM's own counts, to be reported to peers.
     pub(crate) fn own(&self, now: Time) -> ToldHandovers {
-        let recent = |at: &&Time| now.saturating_sub(**at) < STEADY;
+        let recent = |at: &&Time| now.saturating_sub(**at) < COUNT_WINDOW;
         ToldHandovers {
             all: self.own,
             recent: self.own_at.iter().filter(recent).count() as u32,
@@ -144,57 +148,64 @@
     }
 }
 
-/// Requests a second that some VMs may hand over together.
+/// The rate that a group of VMs may use together.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Allowance {
-    /// Requests a second.
+    /// Requests per second.
     pub(crate) per_second: f64,
-    /// How many VMs use it.
+    /// Number of VMs that share the rate.
     pub(crate) vms: usize,
 }
 
 impl Allowance {
-    /// What may be used of a rate of which `part` is left to these VMs.
+    /// Creates the allowance of `vms` VMs that may use the fraction `part` of `rate`.
     pub(crate) fn of(rate: f64, part: f64, vms: usize) -> Self {
         Self {
-            per_second: rate * USED * part,
+            per_second: rate * RATE_UTILIZATION * part,
             vms,
         }
     }
 
-    /// Whether one more request is within it.
+    /// Returns whether one more request is within the allowance.
     pub(crate) fn admits(self, known: &Handovers, now: Time, id: &str, seed: u64) -> bool {
         match self.per_second < 1.0 {
-            true => self.admits_rarely(known, now, id, seed),
-            false => self.is_repaid(known, now),
+            true => self.admits_at_random(known, now, id, seed),
+            false => self.conforms(known, now),
         }
     }
 
-    /// Whether what was handed over has been repaid by the time that passed, but for what
-    /// may come together. VMs that hand over within the milliseconds that it takes to tell
-    /// exceed it for a moment, and all of them wait for that to be repaid.
-    fn is_repaid(self, known: &Handovers, now: Time) -> bool {
+    /// Returns whether one more request conforms to the rate, by the generic cell rate
+    /// algorithm with a burst of `BURST_PERIOD`. VMs that place requests within the
+    /// milliseconds that a report takes exceed the rate for a moment; all of them then wait
+    /// until the average is back within it.
+    fn conforms(self, known: &Handovers, now: Time) -> bool {
         let each = Time::from_secs_f64(1.0 / self.per_second);
-        let together = (self.per_second * BURST.as_secs_f64()).floor().max(1.0);
-        let repaid_at = known
+        let burst = (self.per_second * BURST_PERIOD.as_secs_f64())
+            .floor()
+            .max(1.0);
+        let next_at = known
             .at
             .iter()
-            .fold(Time::ZERO, |repaid_at, at| repaid_at.max(*at) + each);
-        repaid_at <= now + each.mul_f64(together - 1.0)
+            .fold(Time::ZERO, |next_at, at| next_at.max(*at) + each);
+        next_at <= now + each.mul_f64(burst - 1.0)
     }
 
-    /// Less than one request a second is one request in some of the seconds. Each VM draws
-    /// for itself, with its part of the chance, so that many of them do not save up a
-    /// request each: `id` and `seed` make the VMs of a fleet draw differently.
-    fn admits_rarely(self, known: &Handovers, now: Time, id: &str, seed: u64) -> bool {
-        let steady = (self.per_second * STEADY.as_secs_f64()).floor().max(1.0);
+    /// Admits requests at rates below one per second: one request in some of the seconds,
+    /// chosen at random. Each VM draws by itself with its share of the probability, so that
+    /// many VMs do not each accumulate one request. `id` and `seed` make the VMs of a fleet
+    /// draw differently.
+    fn admits_at_random(self, known: &Handovers, now: Time, id: &str, seed: u64) -> bool {
+        let max_in_window = (self.per_second * COUNT_WINDOW.as_secs_f64())
+            .floor()
+            .max(1.0);
         let chance = self.per_second / self.vms as f64;
         let free = known.within(now, SECOND) == 0;
-        free && (known.within(now, STEADY) as f64) < steady && draw(now, id, seed) < chance
+        free && (known.within(now, COUNT_WINDOW) as f64) < max_in_window
+            && draw(now, id, seed) < chance
     }
 }
 
-/// A number from 0 to 1 that stays the same for a second.
+/// Returns a pseudo-random number from 0 to 1 that is constant within each second.
 fn draw(now: Time, id: &str, seed: u64) -> f64 {
     let second = xxh3_64(&now.as_secs().to_le_bytes());
     let drawn = xxh3_64_with_seed(id.as_bytes(), seed ^ second);
--- a/trouttrack_core/src/upstream/spec.rs
+++ b/trouttrack_core/src/upstream/spec.rs
@@ -1,36 +1,36 @@
-//! What is said of an upstream: by the configuration, and by itself.
+//! Configuration and load reports of an upstream.
 
 use crate::{FailureDomain, Time, UpstreamId};
 
-/// What the configuration says of an upstream.
+/// Configuration of an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Spec {
-    /// Its name.
+    /// Unique id.
     pub id: UpstreamId,
-    /// When this life of it began, in Unix milliseconds; 0 if nobody says.
+    /// Start time of this incarnation in Unix milliseconds; 0 if unknown.
     pub born: u64,
-    /// Where it stands.
+    /// The failure domain that it runs in.
     pub failure_domain: FailureDomain,
-    /// The services that it can run.
+    /// Services that it can run.
     pub services: Vec<String>,
-    /// Token memory of an engine; zero for a plain service.
+    /// Token memory of an engine; 0 for a plain service.
     pub capacity_tokens: u64,
-    /// The most requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub max_running: usize,
-    /// Until when it is slow because it has just started.
+    /// End of the warm-up period after its start, during which it is slow.
     pub warm_at: Time,
-    /// Requests a second that it bears until then; zero if that is not bounded.
+    /// Requests per second that it sustains until `warm_at`; 0 if not bounded.
     pub cold_rate: f64,
 }
 
-/// An upstream's own word on its load; it lags.
+/// A load report from the upstream itself. Reports arrive with a delay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// When the report was true, on this process's clock.
+    /// Time that the report describes, on this process's clock.
     pub at: Time,
-    /// Requests that were running.
+    /// Running requests.
     pub running: usize,
-    /// Requests that were waiting at the upstream.
+    /// Requests queued at the upstream.
     pub waiting: usize,
     /// Tokens of memory in use.
     pub used_tokens: u64,
--- a/trouttrack_core/src/upstream/table.rs
+++ b/trouttrack_core/src/upstream/table.rs
@@ -1,4 +1,4 @@
-//! The table of upstreams, and which of them run a service.
+//! The table of upstreams, with an index by service.
 
 use super::row::{Upstream, UpstreamKey};
 use super::spec::Spec;
@@ -8,30 +8,30 @@
 use std::collections::{HashMap, HashSet};
 use std::mem;
 
-/// All upstreams of the configuration.
+/// All configured upstreams.
 #[derive(Debug, Default)]
 pub struct UpstreamTable {
     rows: SlotMap<UpstreamKey, Upstream>,
     by_id: HashMap<UpstreamId, UpstreamKey>,
     by_service: HashMap<String, Serving>,
-    /// Whether peers tell their use of upstreams.
+    /// Whether peers report their use of upstreams.
     hears_peers: bool,
-    /// The failure domains whose upstreams get no new work.
+    /// Failure domains whose upstreams get no new requests.
     evacuations: Evacuations,
 }
 
-/// The upstreams of a service: those of the own failure domain first.
+/// The upstreams of a service, those of this VM's failure domain first.
 #[derive(Clone, Debug, Default)]
 pub struct Serving {
-    /// All of them.
+    /// Keys of the upstreams.
     pub keys: Vec<UpstreamKey>,
-    /// How many of them, from the first on, stand in the own failure domain.
+    /// Number of leading keys whose upstreams are in this VM's failure domain.
     pub local: usize,
 }
 
 impl UpstreamTable {
-    /// Makes the table hold exactly these upstreams; rows that stay keep
-    /// their state. `home` is the own failure domain.
+    /// Replaces the configured upstreams; rows that remain keep their state. `home` is this
+    /// VM's failure domain.
     ///
     /// # Examples
     ///
@@ -80,8 +80,8 @@
         self.rows[key].evacuated = evacuated;
     }
 
-    /// Takes the failure domains whose upstreams get no new work, those that are put
-    /// later among them.
+    /// Sets the failure domains whose upstreams get no new requests, including upstreams
+    /// that are added later.
     pub(crate) fn evacuate(&mut self, evacuations: Evacuations) {
         for row in self.rows.values_mut() {
             row.evacuated = evacuations.contains(&row.spec.failure_domain);
@@ -89,7 +89,7 @@
         self.evacuations = evacuations;
     }
 
-    /// Makes the lists of all services anew, at the cost of sorting the rows once.
+    /// Rebuilds the lists of all services, sorting the rows once.
     fn index_services(&mut self, home: &str) {
         self.by_service.clear();
         let rows = &self.rows;
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Puts a row in the list of each of its services. Each part of a list is
-    /// ordered by id, so that all processes pack requests in the same order.
+    /// Adds a row to the list of each of its services. Each part of a list is ordered by id,
+    /// so that all processes assign requests in the same order.
     fn index(&mut self, key: UpstreamKey, home: &str) {
         let spec = &self.rows[key].spec;
         let near = spec.failure_domain == home;
@@ -120,21 +120,21 @@
                 false => serving.local..serving.keys.len(),
             };
             let before = |k: &UpstreamKey| self.rows[*k].spec.id < spec.id;
-            let place = part.start + serving.keys[part].partition_point(before);
-            serving.keys.insert(place, key);
+            let position = part.start + serving.keys[part].partition_point(before);
+            serving.keys.insert(position, key);
             serving.local += usize::from(near);
         }
     }
 
-    /// Takes a row out of the list of each of its services.
+    /// Removes a row from the list of each of its services.
     fn unindex(&mut self, key: UpstreamKey) {
         for service in &self.rows[key].spec.services {
             let Some(serving) = self.by_service.get_mut(service) else {
                 continue;
             };
-            if let Some(place) = serving.keys.iter().position(|k| *k == key) {
-                serving.keys.remove(place);
-                serving.local -= usize::from(place < serving.local);
+            if let Some(position) = serving.keys.iter().position(|k| *k == key) {
+                serving.keys.remove(position);
+                serving.local -= usize::from(position < serving.local);
             }
             if serving.keys.is_empty() {
                 self.by_service.remove(service);
@@ -142,8 +142,8 @@
         }
     }
 
-    /// Puts one upstream in the table, or replaces what is said of it. Its row
-    /// keeps its state, and no other row is visited.
+    /// Adds an upstream, or replaces its configuration. An existing row keeps its state, and no
+    /// other row is visited.
     pub fn insert(&mut self, spec: Spec, home: &str) {
         let known = self.by_id.get(&spec.id).copied();
         let same_lists = known.is_some_and(|key| {
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Takes one upstream out of the table.
+    /// Removes an upstream.
     pub fn remove(&mut self, id: &str) {
         let Some(key) = self.by_id.remove(id) else {
             return;
@@ -169,32 +169,33 @@
         self.rows.remove(key);
     }
 
-    /// Peers tell their use of upstreams: what is not told of is not used.
+    /// Records that peers report their use of upstreams, so that an upstream without reports is
+    /// unused by peers.
     pub(crate) fn hear_peers(&mut self) {
         if !mem::replace(&mut self.hears_peers, true) {
             self.rows.values_mut().for_each(Upstream::hear_peers);
         }
     }
 
-    /// The upstreams that run a service; `None` if there are none.
+    /// Returns the upstreams that run a service; `None` if there are none.
     #[must_use]
     pub fn serving(&self, service: &str) -> Option<&Serving> {
         self.by_service.get(service)
     }
 
-    /// The key of a name.
+    /// Returns the key of the upstream with this id.
     #[must_use]
     pub fn key(&self, id: &str) -> Option<UpstreamKey> {
         self.by_id.get(id).copied()
     }
 
-    /// A row.
+    /// Returns the upstream with this key.
     #[must_use]
     pub fn get(&self, key: UpstreamKey) -> Option<&Upstream> {
         self.rows.get(key)
     }
 
-    /// The row of a name.
+    /// Returns the upstream with this id.
     ///
     /// # Examples
     ///
@@ -207,12 +208,12 @@
         self.get(self.key(id)?)
     }
 
-    /// A row, to change.
+    /// Returns the upstream with this key, mutably.
     pub fn get_mut(&mut self, key: UpstreamKey) -> Option<&mut Upstream> {
         self.rows.get_mut(key)
     }
 
-    /// Every row.
+    /// Iterates over all upstreams.
     pub fn iter(&self) -> impl Iterator<Item = (UpstreamKey, &Upstream)> {
         self.rows.iter()
     }
