--- a/trouttrack_core/benches/decision.rs
+++ b/trouttrack_core/benches/decision.rs
@@ -1,8 +1,8 @@
-//! What one decision costs: a request is submitted, placed and ended, among
-//! many upstreams and organisations.
+//! Benchmarks of one routing decision: a request is submitted, placed and ended, with many
+//! upstreams and organisations.
 //!
-//! `cargo bench -p trouttrack_core` prints criterion's figures, then the tail
-//! of single decisions.
+//! `cargo bench -p trouttrack_core` prints criterion's results, then the tail latency of
+//! single decisions.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use std::hint::black_box;
@@ -14,11 +14,11 @@
 
 const UPSTREAMS: [usize; 3] = [10, 100, 900];
 const ORGANISATIONS: [usize; 2] = [10, 18_000];
-/// Requests that run at each upstream all the while.
-const RUNNING: usize = 12;
-/// Upstreams that a heartbeat names.
-const NAMED: usize = 30;
-/// Peers whose heartbeats come in turn.
+/// Number of requests that run at each upstream throughout.
+const RUNNING_PER_UPSTREAM: usize = 12;
+/// Maximum number of upstreams listed in a heartbeat.
+const UPSTREAMS_PER_HEARTBEAT: usize = 30;
+/// Number of peers, whose heartbeats arrive in turn.
 const PEERS: usize = 340;
 
 fn world(upstreams: usize, organisations: usize) -> World {
@@ -36,7 +36,7 @@
         seed: 1,
     });
     world.configure((0..upstreams).map(spec).collect());
-    for i in 0..upstreams * RUNNING {
+    for i in 0..upstreams * RUNNING_PER_UPSTREAM {
         world.submit(Duration::ZERO, submission(i, organisations));
     }
     world.tick(Duration::ZERO);
@@ -97,14 +97,14 @@
                     decide(&mut world, i, organisations);
                 });
             });
-            tail(&mut world, upstreams, organisations);
+            print_tail(&mut world, upstreams, organisations);
         }
     }
     group.finish();
 }
 
-/// Prints the tail of single decisions, which the mean hides.
-fn tail(world: &mut World, upstreams: usize, organisations: usize) {
+/// Prints the tail latency of single decisions, which the mean hides.
+fn print_tail(world: &mut World, upstreams: usize, organisations: usize) {
     const DECISIONS: usize = 20_000;
     let mut times: Vec<Duration> = (0..DECISIONS)
         .map(|i| {
@@ -121,13 +121,15 @@
     );
 }
 
-/// What a peer's heartbeat and one upstream's new entry cost.
+/// Benchmarks applying a peer's heartbeat and updating or replacing an upstream.
 fn membership(c: &mut Criterion) {
     let mut group = c.benchmark_group("membership");
     for upstreams in UPSTREAMS {
         let mut world = world(upstreams, 10);
         let mut now = Duration::ZERO;
-        let uses: Vec<UpstreamUse> = (0..upstreams.min(NAMED)).map(used).collect();
+        let uses: Vec<UpstreamUse> = (0..upstreams.min(UPSTREAMS_PER_HEARTBEAT))
+            .map(upstream_use)
+            .collect();
         group.bench_function(BenchmarkId::new("heartbeat", upstreams), |b| {
             let mut peer = 0;
             b.iter(|| {
@@ -155,7 +157,7 @@
     group.finish();
 }
 
-fn used(i: usize) -> UpstreamUse {
+fn upstream_use(i: usize) -> UpstreamUse {
     UpstreamUse {
         upstream: format!("e{i}"),
         running: 2,
--- a/trouttrack_core/src/upstream/table.rs
+++ b/trouttrack_core/src/upstream/table.rs
@@ -120,8 +120,8 @@
                 false => serving.local..serving.keys.len(),
             };
             let before = |k: &UpstreamKey| self.rows[*k].spec.id < spec.id;
-            let position = part.start + serving.keys[part].partition_point(before);
-            serving.keys.insert(position, key);
+            let pos = part.start + serving.keys[part].partition_point(before);
+            serving.keys.insert(pos, key);
             serving.local += usize::from(near);
         }
     }
@@ -132,9 +132,9 @@
             let Some(serving) = self.by_service.get_mut(service) else {
                 continue;
             };
-            if let Some(position) = serving.keys.iter().position(|k| *k == key) {
-                serving.keys.remove(position);
-                serving.local -= usize::from(position < serving.local);
+            if let Some(pos) = serving.keys.iter().position(|k| *k == key) {
+                serving.keys.remove(pos);
+                serving.local -= usize::from(pos < serving.local);
             }
             if serving.keys.is_empty() {
                 self.by_service.remove(service);
--- a/trouttrack_core/tests/core/cold.rs
+++ b/trouttrack_core/tests/core/cold.rs
@@ -1,5 +1,5 @@
-//! What a fleet hands over to upstreams that are cold, under drawn arrivals, delays and
-//! losses.
+//! Rate of requests that a fleet sends to cold upstreams, with random arrivals, delays and
+//! message loss.
 
 use crate::bounded_fleet::{Bounded, Fleet, cold, most_within};
 use crate::support::{placed, settings, submission};
@@ -9,21 +9,21 @@
 use trouttrack_core::upstream::{RateShare, Spec};
 use trouttrack_core::world::World;
 
-/// What one customer's upstreams bear while cold, a second.
+/// Requests per second that the upstreams of one production deployment sustain while cold.
 const RATE: f64 = 20.0;
-/// What they bear in any one second: the rate times this, and some more.
-const MOST_OVER: f64 = 1.5;
-const MOST_MORE: f64 = 5.0;
+/// Cold upstreams sustain `RATE * MAX_RATE_FACTOR + EXTRA_REQUESTS` in any one second.
+const MAX_RATE_FACTOR: f64 = 1.5;
+const EXTRA_REQUESTS: f64 = 5.0;
 const SECOND: Duration = Duration::from_secs(1);
-/// How long a request may wait here: it is decided on as it comes.
-const AT_ONCE: Duration = Duration::from_millis(1);
+/// Time to the deadline of a request: short enough that it is not queued.
+const DEADLINE_MARGIN: Duration = Duration::from_millis(1);
 
-fn most_in_a_second(given: &[(String, Duration)]) -> usize {
-    most_within(given, SECOND)
+fn max_in_one_second(sent: &[(String, Duration)]) -> usize {
+    most_within(sent, SECOND)
 }
 
-fn bound() -> usize {
-    (RATE * MOST_OVER + MOST_MORE) as usize
+fn max_per_second() -> usize {
+    (RATE * MAX_RATE_FACTOR + EXTRA_REQUESTS) as usize
 }
 
 proptest! {
@@ -35,7 +35,7 @@
     })]
 
     #[test]
-    fn no_upstream_is_given_more_than_it_bears(
+    fn cold_upstreams_do_not_exceed_sustainable_rate(
         (domains, vms) in prop_oneof![Just((3, 2)), Just((4, 16)), Just((1, 6)), Just((8, 4))],
         upstreams in 1usize..9,
         asked in 10.0f64..400.0,
@@ -46,16 +46,17 @@
         let fleet = Fleet {
             domains, vms, upstreams, bounded: Bounded::Cold(RATE), in_touch, loss, asked
         };
-        let given = fleet.play(seed, Duration::from_secs(6));
-        let most = most_in_a_second(&given);
-        prop_assert!(most <= bound(), "{most} in a second");
+        let sent = fleet.play(seed, Duration::from_secs(6));
+        let max = max_in_one_second(&sent);
+        prop_assert!(max <= max_per_second(), "{max} requests in one second");
     }
 }
 
-/// What was drawn once, and broke the bound with 37 in a second: out of touch, an even
-/// share for each VM adds up to more by chance.
+/// Regression test for a randomly found case with 37 requests in one second: when VMs receive
+/// no reports from each other and each uses an even share, their sum exceeds the bound at
+/// random.
 #[test]
-fn vms_out_of_touch_leave_room_for_chance() {
+fn isolated_vms_keep_headroom_for_random_coincidence() {
     let fleet = Fleet {
         domains: 4,
         vms: 16,
@@ -66,14 +67,17 @@
         asked: 304.827_684_431_297_8,
     };
     for seed in 70..90 {
-        let most = most_in_a_second(&fleet.play(seed, Duration::from_secs(6)));
-        assert!(most <= bound(), "{most} in a second with seed {seed}");
+        let max = max_in_one_second(&fleet.play(seed, Duration::from_secs(6)));
+        assert!(
+            max <= max_per_second(),
+            "{max} requests in one second with seed {seed}"
+        );
     }
 }
 
-/// The part of the rate that is used by a fleet that has few cold upstreams and far more
-/// requests than they bear.
-fn used(domains: usize, vms: usize) -> f64 {
+/// Returns the fraction of the rate used by a fleet that has few upstreams, all cold, and far
+/// more requests than they sustain.
+fn rate_utilization(domains: usize, vms: usize) -> f64 {
     let fleet = Fleet {
         domains,
         vms,
@@ -83,23 +87,26 @@
         loss: 0.0,
         asked: 10.0 * RATE * domains as f64,
     };
-    let lasts = 5;
-    let given = fleet.play(1, Duration::from_secs(1 + lasts));
-    given.len() as f64 / (RATE * fleet.upstreams as f64 * lasts as f64)
+    let seconds = 5;
+    let sent = fleet.play(1, Duration::from_secs(1 + seconds));
+    sent.len() as f64 / (RATE * fleet.upstreams as f64 * seconds as f64)
 }
 
 #[test]
-fn nine_tenths_of_the_rate_are_used_when_only_cold_ones_are_left() {
+fn at_least_90_percent_of_rate_is_used_when_all_upstreams_are_cold() {
     for (domains, vms) in [(3, 2), (4, 16), (6, 49)] {
-        let used = used(domains, vms);
-        assert!(used >= 0.9, "{used} with {domains} times {vms}");
+        let utilization = rate_utilization(domains, vms);
+        assert!(
+            utilization >= 0.9,
+            "utilization {utilization} with {domains} domains of {vms} VMs"
+        );
     }
 }
 
-/// A share of less than one request a second belongs to all VMs that hear each other: drawn
-/// by each of them as if it were alone, it added up to several times the rate.
+/// A share of less than one request per second belongs to all VMs that receive each other's
+/// reports. When each VM drew as if the share were its own, the sum was several times the rate.
 #[test]
-fn a_low_rate_is_kept_to_over_many_seconds_at_295_vms() {
+fn rate_of_one_per_second_holds_over_20_s_with_295_vms() {
     const LOW: f64 = 1.0;
     const SECONDS: u64 = 20;
     for seed in 0..3 {
@@ -112,16 +119,19 @@
             loss: 0.0,
             asked: 600.0,
         };
-        let given = fleet.play(seed, SECOND * (1 + SECONDS as u32));
-        let most = (LOW * MOST_OVER * SECONDS as f64 + MOST_MORE) as usize;
-        let all = given.len();
-        assert!(all <= most, "{all} in {SECONDS} s, {most} are borne");
-        assert!(all as f64 >= LOW * SECONDS as f64 / 2.0, "only {all}");
+        let sent = fleet.play(seed, SECOND * (1 + SECONDS as u32));
+        let max = (LOW * MAX_RATE_FACTOR * SECONDS as f64 + EXTRA_REQUESTS) as usize;
+        let all = sent.len();
+        assert!(all <= max, "{all} requests in {SECONDS} s, limit {max}");
+        assert!(
+            all as f64 >= LOW * SECONDS as f64 / 2.0,
+            "only {all} requests"
+        );
     }
 }
 
 #[test]
-fn the_sum_holds_at_295_vms() {
+fn total_rate_holds_with_295_vms() {
     for seed in 0..3 {
         let fleet = Fleet {
             domains: 6,
@@ -132,17 +142,17 @@
             loss: 0.01,
             asked: 600.0,
         };
-        let most = most_in_a_second(&fleet.play(seed, Duration::from_secs(4)));
-        assert!(most <= bound(), "{most} in a second");
+        let max = max_in_one_second(&fleet.play(seed, Duration::from_secs(4)));
+        assert!(max <= max_per_second(), "{max} requests in one second");
     }
 }
 
 #[test]
-fn while_the_number_of_vms_is_not_known_a_cold_upstream_gets_nothing() {
+fn cold_upstream_gets_no_requests_while_vm_count_is_unknown() {
     let mut world = World::new(settings("trouttrack"));
     world.configure(vec![cold("u", "a", RATE)]);
     let mut wanted = submission("r", "o", 1);
-    wanted.deadline = SECOND + AT_ONCE;
+    wanted.deadline = SECOND + DEADLINE_MARGIN;
     world.submit(SECOND, wanted);
     assert!(placed(&world.tick(SECOND)).is_empty());
     world.set_rate_share(RateShare::of(1, 1, 1));
@@ -150,7 +160,7 @@
 }
 
 #[test]
-fn a_warm_upstream_is_not_bounded_and_one_that_turns_cold_is() {
+fn rate_is_bounded_only_while_upstream_is_cold() {
     let mut world = World::new(settings("trouttrack"));
     let warm = Spec {
         warm_at: Duration::ZERO,
@@ -158,27 +168,32 @@
     };
     world.configure(vec![warm.clone()]);
     world.set_rate_share(RateShare::of(1, 1, 1));
-    let give = |world: &mut World, now: Time| {
+    let try_place = |world: &mut World, now: Time| {
         let mut wanted = submission("r", "o", 1);
-        wanted.deadline = now + AT_ONCE;
+        wanted.deadline = now + DEADLINE_MARGIN;
         let key = world.submit(now, wanted);
-        let given = !placed(&world.tick(now)).is_empty();
+        let sent = !placed(&world.tick(now)).is_empty();
         world.ended(now, key, false, None);
-        given
+        sent
     };
-    assert!((0..100).all(|_| give(&mut world, SECOND)));
+    assert!((0..100).all(|_| try_place(&mut world, SECOND)));
     world.put_upstream(cold("u", "a", RATE));
-    // No more than the rate of a second at one moment, and about the rate in a second.
+    // At most one second's rate in a burst, and about the rate over one second.
     let whole_rate = (RATE * 0.95).floor() as usize;
-    let at_once = (0..100).filter(|_| give(&mut world, 3 * SECOND)).count();
-    assert!((1..=whole_rate).contains(&at_once), "{at_once} at once");
+    let burst = (0..100)
+        .filter(|_| try_place(&mut world, 3 * SECOND))
+        .count();
+    assert!(
+        (1..=whole_rate).contains(&burst),
+        "burst of {burst} requests"
+    );
     let moments = (1..1000).map(|ms| 3 * SECOND + Duration::from_millis(ms));
-    let later = moments.filter(|at| give(&mut world, *at)).count();
-    let in_a_second = at_once + later;
+    let later = moments.filter(|at| try_place(&mut world, *at)).count();
+    let in_one_second = burst + later;
     assert!(
-        (whole_rate..=whole_rate + whole_rate / 4).contains(&in_a_second),
-        "{in_a_second} in a second"
+        (whole_rate..=whole_rate + whole_rate / 4).contains(&in_one_second),
+        "{in_one_second} requests in one second"
     );
     world.put_upstream(warm);
-    assert!((0..100).all(|_| give(&mut world, 3 * SECOND)));
+    assert!((0..100).all(|_| try_place(&mut world, 3 * SECOND)));
 }
--- a/trouttrack_core/tests/core/known_load.rs
+++ b/trouttrack_core/tests/core/known_load.rs
@@ -1,4 +1,4 @@
-//! What a VM knows of the load that others put on upstreams, and tells of its own.
+//! Upstream load as known to a VM: usage reported by peers, and the usage that it reports.
 
 use crate::support::{placed, spec, submission, world};
 use std::time::Duration;
@@ -33,30 +33,30 @@
 }
 
 #[test]
-fn a_prompt_counts_until_the_first_token_comes() {
+fn prompt_counts_as_loading_until_first_token() {
     let mut world = two_domains();
     world.submit(NOW, submission("r", "o", 1));
     let [(key, upstream)] = &placed(&world.tick(NOW))[..] else {
         panic!("placed");
     };
-    let told = |world: &World, at| {
+    let reported = |world: &World, at| {
         let uses = world.own_uses(at);
         uses.iter().map(|u| u.loading_tokens).sum::<u64>()
     };
-    // However long it takes: an engine that is slow is not thought to be free.
+    // Regardless of the time it takes, so that a slow engine is not taken for an idle one.
     for seconds in [1, 5, 30] {
         let at = NOW + Duration::from_secs(seconds);
-        assert_eq!(told(&world, at), 100);
+        assert_eq!(reported(&world, at), 100);
         let row = world.upstreams.get_by_id(upstream).expect("a row");
         assert!(row.loading_seconds(at) > 0.0);
     }
     assert!(world.progress(*key, 1), "its first token");
     assert!(!world.progress(*key, 2), "not its first token");
-    assert_eq!(told(&world, NOW), 0);
+    assert_eq!(reported(&world, NOW), 0);
 }
 
 #[test]
-fn a_prompt_of_a_moved_generation_is_loaded() {
+fn prompt_of_relocated_generation_counts_as_loaded() {
     let mut world = two_domains();
     world.submit(NOW, submission("r", "o", 1));
     let [(key, upstream)] = &placed(&world.tick(NOW))[..] else {
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_peers_prompt_that_nobody_tells_of_again_is_taken_for_loaded_in_time() {
+fn loading_prompt_of_peer_expires_without_further_reports() {
     let mut world = two_domains();
     world.peer_uses(NOW, "p", HOME, &[use_of("e1", 1)]);
     let row = world.upstreams.get_by_id("e1").expect("a row");
@@ -77,34 +77,35 @@
 }
 
 #[test]
-fn the_sum_over_a_failure_domain_takes_the_place_of_its_vms() {
+fn domain_total_replaces_reports_of_its_vms() {
     let mut world = two_domains();
     world.domain_uses_told(NOW, OTHER, &[use_of("e2", 7), use_of("e1", 5)]);
-    // The sum is of upstreams there; what its VMs use here each tells itself.
+    // A domain total covers the upstreams in that domain. Its VMs report their use of upstreams
+    // in other domains individually.
     assert_eq!((running(&world, "e1"), running(&world, "e2")), (0, 7));
-    let told = [use_of("e1", 2), use_of("e2", 3)];
-    world.peer_uses(NOW, "far", OTHER, &told);
+    let reported = [use_of("e1", 2), use_of("e2", 3)];
+    world.peer_uses(NOW, "far", OTHER, &reported);
     assert_eq!((running(&world, "e1"), running(&world, "e2")), (2, 7));
-    // A newer sum replaces the last one.
+    // A newer total replaces the previous one.
     world.domain_uses_told(NOW, OTHER, &[use_of("e2", 1)]);
     assert_eq!(running(&world, "e2"), 1);
 }
 
 #[test]
-fn what_is_told_of_the_own_domain_is_by_its_vms_alone() {
+fn own_domain_total_includes_only_its_vms() {
     let mut world = two_domains();
     world.peer_uses(NOW, "near", HOME, &[use_of("e1", 2), use_of("e2", 1)]);
     world.peer_uses(NOW, "far", OTHER, &[use_of("e1", 4)]);
     let sum = world.domain_uses(NOW);
-    let told: Vec<_> = sum
+    let reported: Vec<_> = sum
         .iter()
         .map(|u| (u.upstream.as_str(), u.running))
         .collect();
-    assert_eq!(told, [("e1", 2)]);
+    assert_eq!(reported, [("e1", 2)]);
 }
 
 #[test]
-fn a_sum_that_is_not_renewed_is_forgotten() {
+fn domain_total_expires_without_renewal() {
     let mut world = two_domains();
     world.domain_uses_told(NOW, OTHER, &[use_of("e2", 7)]);
     let later = NOW + Duration::from_secs(8);
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn the_age_of_the_oldest_word_on_an_upstream_is_known() {
+fn oldest_report_age_is_known_for_used_upstreams() {
     let mut world = two_domains();
     world.peer_uses(NOW, "p", HOME, &[use_of("e1", 1)]);
     world.peer_uses(2 * NOW, "q", HOME, &[use_of("e1", 1)]);
@@ -124,7 +125,7 @@
 }
 
 #[test]
-fn the_end_of_a_generation_is_news_and_that_of_a_lookup_is_not() {
+fn only_end_of_generation_is_reported_to_peers_immediately() {
     let mut world = two_domains();
     let end = |world: &mut World, prompt_tokens| {
         let mut wanted = submission("r", "o", 1);
@@ -138,59 +139,63 @@
 }
 
 #[test]
-fn what_peers_hold_is_counted_whole_and_their_growth_in_part() {
+fn held_tokens_of_peers_count_fully_and_growth_partially() {
     let mut world = two_domains();
-    let told = UpstreamUse {
+    let reported = UpstreamUse {
         peak_tokens: 9_000,
         held_tokens: 8_000,
         ..use_of("e1", 3)
     };
-    world.peer_uses(NOW, "p", HOME, &[told]);
+    world.peer_uses(NOW, "p", HOME, &[reported]);
     let row = world.upstreams.get_by_id("e1").expect("a row");
     assert!((row.peak_tokens(None) - 8_750.0).abs() < 1e-9);
 }
 
-/// Long after a lookup of some 30 ms, and before its VM says anything again.
-const LOOKUP_IS_OVER: Duration = Duration::from_millis(200);
+/// Well after the end of a lookup, which takes about 30 ms, and before the next report of its
+/// VM.
+const LOOKUP_FINISHED: Duration = Duration::from_millis(200);
 
 #[test]
-fn lookups_told_from_elsewhere_do_not_keep_an_upstream_closed() {
-    let slots = 6;
-    let mut world = world("trouttrack", vec![spec("p", HOME, 0, slots)]);
+fn lookups_reported_by_another_domain_do_not_keep_upstream_full() {
+    let max_running = 6;
+    let mut world = world("trouttrack", vec![spec("p", HOME, 0, max_running)]);
     let lookups = UpstreamUse {
         peak_tokens: 0,
         held_tokens: 0,
         loading_tokens: 0,
-        ..use_of("p", slots as u32)
+        ..use_of("p", max_running as u32)
     };
     world.peer_uses(NOW, "far", OTHER, &[lookups]);
-    let later = NOW + LOOKUP_IS_OVER;
+    let later = NOW + LOOKUP_FINISHED;
     let mut wanted = submission("r", "o", 2);
     wanted.prompt_tokens = 0;
     world.submit(later, wanted);
     assert_eq!(placed(&world.tick(later)).len(), 1);
 }
 
-/// Guards against: what a VM tells of its calls as it really does, with the tokens that its
-/// forecast takes them to write, was taken for generations that last.
+/// Regression test: calls, which a VM reports with the tokens that they are forecast to
+/// generate, were mistaken for long-running generations.
 #[test]
-fn calls_as_they_are_told_do_not_keep_an_upstream_closed() {
-    let slots = 6;
-    let mut teller = world("trouttrack", vec![spec("p", HOME, 0, slots)]);
-    let mut listener = world("trouttrack", vec![spec("p", HOME, 0, slots)]);
+fn calls_reported_with_forecast_tokens_do_not_keep_upstream_full() {
+    let max_running = 6;
+    let mut sender = world("trouttrack", vec![spec("p", HOME, 0, max_running)]);
+    let mut receiver = world("trouttrack", vec![spec("p", HOME, 0, max_running)]);
     let call = |id: &str| {
         let mut wanted = submission(id, "o", 2);
         wanted.prompt_tokens = 0;
         wanted
     };
-    for n in 0..slots {
-        teller.submit(NOW, call(&format!("c{n}")));
+    for n in 0..max_running {
+        sender.submit(NOW, call(&format!("c{n}")));
     }
-    assert_eq!(placed(&teller.tick(NOW)).len(), slots);
-    listener.peer_uses(NOW, "teller", HOME, &teller.own_uses(NOW));
-    let at_once = listener.submit(NOW, call("at once"));
-    assert!(placed(&listener.tick(NOW)).is_empty(), "it is full");
-    let later = NOW + LOOKUP_IS_OVER;
-    assert_eq!(placed(&listener.tick(later)).len(), 1);
-    listener.ended(later, at_once, false, Some(0));
+    assert_eq!(placed(&sender.tick(NOW)).len(), max_running);
+    receiver.peer_uses(NOW, "sender", HOME, &sender.own_uses(NOW));
+    let immediate = receiver.submit(NOW, call("at once"));
+    assert!(
+        placed(&receiver.tick(NOW)).is_empty(),
+        "the upstream is full"
+    );
+    let later = NOW + LOOKUP_FINISHED;
+    assert_eq!(placed(&receiver.tick(later)).len(), 1);
+    receiver.ended(later, immediate, false, Some(0));
 }
--- a/trouttrack_core/tests/core/main.rs
+++ b/trouttrack_core/tests/core/main.rs
@@ -16,6 +16,6 @@
 mod relocate;
 mod retry_rule;
 mod support;
+mod upstream_notices;
 mod upstream_table;
-mod words;
 mod world;
--- a/trouttrack_core/tests/core/policies.rs
+++ b/trouttrack_core/tests/core/policies.rs
@@ -1,4 +1,4 @@
-//! The policies, by one contract.
+//! Tests that all routing policies meet the same contract.
 
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -39,7 +39,7 @@
     })]
 
     #[test]
-    fn each_policy_chooses_a_candidate_or_none(
+    fn every_policy_chooses_a_valid_candidate_or_none(
         loads in prop::collection::vec((0usize..10, any::<bool>()), 0..8),
         seed in any::<u64>(),
     ) {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn least_outstanding_takes_the_least() {
+fn least_outstanding_chooses_least_loaded_candidate() {
     let all = candidates(&[(5, true), (1, true), (3, true)]);
     let mut policy: AnyPolicy = "least-outstanding".parse().unwrap();
     let mut rng = SmallRng::seed_from_u64(1);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn round_robin_goes_round() {
+fn round_robin_chooses_each_candidate_once() {
     let all = candidates(&[(0, true), (0, true), (0, true)]);
     let mut policy: AnyPolicy = "round-robin".parse().unwrap();
     let mut rng = SmallRng::seed_from_u64(1);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn with_many_upstreams_nearby_a_choice_stays_there() {
+fn remote_penalty_grows_with_local_alternatives() {
     let mut both = candidates(&[(6, true), (1, true)]);
     both[1].local = false;
     let choose = |both: &[Candidate]| {
--- a/trouttrack_core/tests/core/rate_limits.rs
+++ b/trouttrack_core/tests/core/rate_limits.rs
@@ -1,7 +1,6 @@
-//! What a fleet hands over to upstreams that name a limit.
+//! Rate of requests that a fleet sends to upstreams that announce a rate limit.
 //!
-//! Guards against: an upstream that names the requests a second that it takes from all VMs
-//! together is given more, by VMs that know of it.
+//! Guards against VMs together exceeding an announced limit that they know of.
 
 use crate::bounded_fleet::{Bounded, Fleet, most_within, takes};
 use crate::support::{placed, settings, spec, submission};
@@ -11,27 +10,27 @@
 use trouttrack_core::upstream::{Incarnation, RateLimit, RateShare, RateStatement, Said};
 use trouttrack_core::world::{Decision, World};
 
-/// The time over which a limit is judged.
+/// The period over which a limit is checked.
 const WINDOW: Duration = Duration::from_secs(4);
-/// What an upstream bears in that time: the limit times this, and some more.
-const MOST_OVER: f64 = 1.5;
-const MOST_MORE: f64 = 5.0;
-/// How soon a VM goes by a limit that it has heard of.
-const HEARD: Duration = Duration::from_millis(500);
-/// When the requests of a play begin.
-const BEGIN: Duration = Duration::from_secs(1);
+/// In that period an upstream sustains the limit times `MAX_RATE_FACTOR`, plus `EXTRA_REQUESTS`.
+const MAX_RATE_FACTOR: f64 = 1.5;
+const EXTRA_REQUESTS: f64 = 5.0;
+/// Time within which a VM applies a limit after receiving it.
+const APPLIED_WITHIN: Duration = Duration::from_millis(500);
+/// When the requests of a simulation begin.
+const START: Duration = Duration::from_secs(1);
 const NOW: Time = Duration::from_secs(100);
 const SECOND: Duration = Duration::from_secs(1);
 
 fn bound(per_second: f64) -> usize {
-    (per_second * MOST_OVER * WINDOW.as_secs_f64() + MOST_MORE) as usize
+    (per_second * MAX_RATE_FACTOR * WINDOW.as_secs_f64() + EXTRA_REQUESTS) as usize
 }
 
-/// The most that an upstream is given in a window of a play.
-fn most(fleet: Fleet, seed: u64) -> usize {
-    let mut given = fleet.play(seed, BEGIN + 3 * WINDOW);
-    given.retain(|(_, at)| *at > BEGIN + HEARD);
-    most_within(&given, WINDOW)
+/// Returns the maximum number of requests that an upstream gets within `WINDOW` in a simulation.
+fn max_in_window(fleet: Fleet, seed: u64) -> usize {
+    let mut sent = fleet.play(seed, START + 3 * WINDOW);
+    sent.retain(|(_, at)| *at > START + APPLIED_WITHIN);
+    most_within(&sent, WINDOW)
 }
 
 proptest! {
@@ -43,7 +42,7 @@
     })]
 
     #[test]
-    fn the_vms_of_a_fleet_keep_to_a_limit_together(
+    fn fleet_does_not_exceed_announced_limit(
         (domains, vms) in prop_oneof![Just((3, 2)), Just((4, 16)), Just((1, 6)), Just((8, 4))],
         upstreams in 1usize..9,
         per_second in prop_oneof![0.2f64..4.0, 4.0f64..30.0],
@@ -54,13 +53,13 @@
     ) {
         let bounded = Bounded::Named(per_second);
         let fleet = Fleet { domains, vms, upstreams, bounded, in_touch, loss, asked };
-        let most = most(fleet, seed);
-        prop_assert!(most <= bound(per_second), "{most} of {}", bound(per_second));
+        let max = max_in_window(fleet, seed);
+        prop_assert!(max <= bound(per_second), "{max} requests, limit {}", bound(per_second));
     }
 }
 
 #[test]
-fn a_limit_holds_at_295_vms() {
+fn announced_limit_holds_with_295_vms() {
     for (seed, per_second) in [(0, 0.5), (1, 2.4), (2, 2.4), (3, 20.0)] {
         let fleet = Fleet {
             domains: 6,
@@ -71,25 +70,28 @@
             loss: 0.01,
             asked: 600.0,
         };
-        let most = most(fleet, seed);
-        assert!(most <= bound(per_second), "{most} at {per_second} a second");
+        let max = max_in_window(fleet, seed);
+        assert!(
+            max <= bound(per_second),
+            "{max} requests at a limit of {per_second} per second"
+        );
     }
 }
 
-fn life() -> Incarnation {
+fn incarnation() -> Incarnation {
     Incarnation::new("u", 0)
 }
 
-/// One VM before one upstream.
-fn one() -> World {
+/// Creates the state of a VM with one upstream.
+fn world_with_one_upstream() -> World {
     let mut world = World::new(settings("trouttrack"));
     world.configure(vec![spec("u", "a", 0, 1_000)]);
     world.set_rate_share(RateShare::of(1, 1, 1));
     world
 }
 
-/// How many of a number of requests that come at one moment are placed.
-fn placed_of(world: &mut World, now: Time, requests: usize) -> usize {
+/// Submits `requests` requests at `now` and returns how many are placed.
+fn place_requests(world: &mut World, now: Time, requests: usize) -> usize {
     let mut count = 0;
     for _ in 0..requests {
         let mut wanted = submission("r", "o", 1);
@@ -103,62 +105,68 @@
 }
 
 #[test]
-fn a_limit_ends_with_an_answer_that_is_surely_newer() {
+fn limit_ends_only_with_a_newer_response() {
     let unlimited = |asked_at| {
         let heard_at = NOW + SECOND;
         Said::Takes(RateStatement::new(RateLimit::Unlimited, asked_at, heard_at))
     };
-    let mut world = one();
-    world.hear(NOW, &life(), takes(NOW, 2.0));
-    world.hear(NOW, &life(), unlimited(NOW - SECOND));
-    assert!(placed_of(&mut world, NOW, 20) < 4, "an older answer");
-    world.hear(NOW, &life(), unlimited(NOW + SECOND / 2));
-    assert_eq!(placed_of(&mut world, NOW + SECOND, 20), 20);
-    // It names another one, and the next life has said nothing.
-    world.hear(NOW, &life(), takes(NOW + 2 * SECOND, 3.0));
+    let mut world = world_with_one_upstream();
+    world.hear(NOW, &incarnation(), takes(NOW, 2.0));
+    world.hear(NOW, &incarnation(), unlimited(NOW - SECOND));
+    assert!(
+        place_requests(&mut world, NOW, 20) < 4,
+        "ended by an older response"
+    );
+    world.hear(NOW, &incarnation(), unlimited(NOW + SECOND / 2));
+    assert_eq!(place_requests(&mut world, NOW + SECOND, 20), 20);
+    // The upstream announces another limit, which does not apply to the next incarnation.
+    world.hear(NOW, &incarnation(), takes(NOW + 2 * SECOND, 3.0));
     let later = NOW + 4 * SECOND;
-    assert!(placed_of(&mut world, later, 20) < 5);
+    assert!(place_requests(&mut world, later, 20) < 5);
     let mut next = spec("u", "a", 0, 1_000);
     next.born = 1;
     world.put_upstream(next);
-    assert_eq!(placed_of(&mut world, later, 20), 20);
+    assert_eq!(place_requests(&mut world, later, 20), 20);
 }
 
 #[test]
-fn one_that_takes_nothing_is_tried_now_and_then() {
-    let mut world = one();
-    world.hear(NOW, &life(), takes(NOW, 0.0));
-    let tries = (0..600).map(|s| placed_of(&mut world, NOW + SECOND * s, 5));
-    let tries: usize = tries.sum();
-    assert!((1..=60).contains(&tries), "{tries} in ten minutes");
+fn upstream_with_limit_of_zero_gets_occasional_trial_requests() {
+    let mut world = world_with_one_upstream();
+    world.hear(NOW, &incarnation(), takes(NOW, 0.0));
+    let trials = (0..600).map(|s| place_requests(&mut world, NOW + SECOND * s, 5));
+    let trials: usize = trials.sum();
+    assert!(
+        (1..=60).contains(&trials),
+        "{trials} requests in ten minutes"
+    );
 }
 
 #[test]
-fn a_limit_that_is_hardly_one_lets_all_through_and_one_of_nearly_nothing_almost_none() {
-    let names = |world: &mut World, rate| world.hear(NOW, &life(), takes(NOW, rate));
+fn extreme_limits_admit_all_or_almost_no_requests() {
+    let announce = |world: &mut World, rate| world.hear(NOW, &incarnation(), takes(NOW, rate));
     for huge in [1e6, f64::MAX] {
-        let mut world = one();
-        names(&mut world, huge);
-        assert_eq!(placed_of(&mut world, NOW, 100), 100, "{huge}");
+        let mut world = world_with_one_upstream();
+        announce(&mut world, huge);
+        assert_eq!(place_requests(&mut world, NOW, 100), 100, "limit {huge}");
     }
     for tiny in [-1.0, f64::MIN_POSITIVE] {
-        let mut world = one();
-        names(&mut world, tiny);
-        let given: usize = (0..20)
-            .map(|s| placed_of(&mut world, NOW + SECOND * s, 20))
+        let mut world = world_with_one_upstream();
+        announce(&mut world, tiny);
+        let sent: usize = (0..20)
+            .map(|s| place_requests(&mut world, NOW + SECOND * s, 20))
             .sum();
-        assert!(given < 5, "{given} in 20 s at {tiny}");
+        assert!(sent < 5, "{sent} requests in 20 s at a limit of {tiny}");
     }
 }
 
-/// Those that come in excess of a limit wait for nothing: who is not reached in time at the
-/// rate that is left is told so at once, and when to come back.
+/// Requests beyond a limit are not queued in vain: those that cannot be placed before their
+/// deadline at the remaining rate are refused immediately, with a time to retry.
 #[test]
-fn more_than_a_limit_lets_through_in_time_is_refused_at_once() {
-    const MANY: usize = 100;
-    let mut world = one();
-    world.hear(NOW, &life(), takes(NOW, 2.0));
-    for _ in 0..MANY {
+fn requests_beyond_limit_are_refused_immediately() {
+    const REQUESTS: usize = 100;
+    let mut world = world_with_one_upstream();
+    world.hear(NOW, &incarnation(), takes(NOW, 2.0));
+    for _ in 0..REQUESTS {
         let mut wanted = submission("r", "o", 1);
         wanted.prompt_tokens = 0;
         wanted.deadline = NOW + 2 * SECOND;
@@ -172,8 +180,12 @@
             Decision::Place { .. } => None,
         })
         .collect();
-    // Two at once and four within two seconds, and what a fraction of a request adds.
-    assert!(refused.len() >= MANY - 8, "{} refused", refused.len());
+    // Two immediately, four within two seconds, and a margin for fractions of a request.
+    assert!(
+        refused.len() >= REQUESTS - 8,
+        "{} requests refused",
+        refused.len()
+    );
     assert!(refused.iter().all(|wait| *wait >= SECOND));
     assert!(!placed(&decided).is_empty());
 }
--- a/trouttrack_core/tests/core/upstream_table.rs
+++ b/trouttrack_core/tests/core/upstream_table.rs
@@ -1,4 +1,4 @@
-//! The table of upstreams, changed row by row, and what peers tell of them.
+//! The upstream table: incremental changes, usage reported by peers, and suspected upstreams.
 
 use crate::support::{SERVICE, spec, submission, world};
 use proptest::prelude::*;
@@ -14,7 +14,7 @@
     spec(&format!("e{number:02}"), domain, 1000, 4)
 }
 
-/// The ids of those that run the service, and how many stand near.
+/// Returns the ids of the upstreams that run the service, and how many of them are local.
 fn listed(table: &UpstreamTable) -> Option<(Vec<String>, usize)> {
     let serving = table.serving(SERVICE)?;
     let ids = serving.keys.iter().filter_map(|k| table.get(*k));
@@ -41,32 +41,32 @@
         ..ProptestConfig::default()
     })]
 
-    /// Rows that come and go one by one leave the same lists, in the same
-    /// order, as a table that is made of those that are left.
+    /// Inserting and removing rows one by one gives the same lists, in the same order, as
+    /// building a table from the remaining rows.
     #[test]
-    fn row_by_row_comes_to_the_same_as_all_at_once(
-        acts in prop::collection::vec((0u8..12, any::<bool>(), any::<bool>()), 0..60),
+    fn incremental_changes_equal_full_configuration(
+        changes in prop::collection::vec((0u8..12, any::<bool>(), any::<bool>()), 0..60),
     ) {
-        let mut changed = UpstreamTable::default();
-        let mut left = std::collections::BTreeMap::new();
-        for (number, far, goes) in acts {
+        let mut incremental = UpstreamTable::default();
+        let mut remaining = std::collections::BTreeMap::new();
+        for (number, far, removed) in changes {
             let row = named(number, far);
-            if goes {
-                changed.remove(&row.id);
-                left.remove(&number);
+            if removed {
+                incremental.remove(&row.id);
+                remaining.remove(&number);
             } else {
-                changed.insert(row.clone(), HOME);
-                left.insert(number, row);
+                incremental.insert(row.clone(), HOME);
+                remaining.insert(number, row);
             }
         }
-        let mut made = UpstreamTable::default();
-        made.configure(left.into_values().rev().collect(), HOME);
-        prop_assert_eq!(listed(&changed), listed(&made));
+        let mut rebuilt = UpstreamTable::default();
+        rebuilt.configure(remaining.into_values().rev().collect(), HOME);
+        prop_assert_eq!(listed(&incremental), listed(&rebuilt));
     }
 }
 
 #[test]
-fn a_row_that_is_put_again_keeps_its_state() {
+fn reinserted_row_keeps_its_state() {
     let mut world = world("trouttrack", vec![named(1, false)]);
     world.submit(SECOND, submission("r", "o", 1));
     world.tick(SECOND);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn what_a_peer_no_longer_names_or_that_fell_silent_is_not_counted() {
+fn use_no_longer_reported_by_peers_is_not_counted() {
     let mut world = world("trouttrack", vec![named(1, false), named(2, false)]);
     world.peer_uses(SECOND, "p", HOME, &[running("e01", 3)]);
     world.peer_uses(SECOND, "q", HOME, &[running("e01", 2)]);
@@ -89,14 +89,14 @@
     assert_eq!(count(&world, "e01"), 5);
     world.peer_uses(2 * SECOND, "p", HOME, &[running("e02", 1)]);
     assert_eq!((count(&world, "e01"), count(&world, "e02")), (2, 1));
-    // Only p is heard from then on; q fell silent.
+    // From here on only p sends reports.
     for second in 3..9 {
         world.peer_uses(second * SECOND, "p", HOME, &[running("e02", 1)]);
     }
     assert_eq!((count(&world, "e01"), count(&world, "e02")), (0, 1));
 }
 
-/// A peer lost a connection to an upstream this many milliseconds ago.
+/// Returns the report of a peer that lost a connection to `upstream` `lost_ms` ago.
 fn lost(upstream: &str, lost_ms: u64) -> [UpstreamUse; 1] {
     [UpstreamUse {
         lost_ms: Some(lost_ms),
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn two_vms_that_lost_connections_are_believed_for_a_while() {
+fn upstream_is_suspected_briefly_after_losses_at_two_vms() {
     let mut world = world("trouttrack", vec![named(1, false)]);
     world.peer_uses(SECOND, "p", HOME, &lost("e01", 0));
     assert!(is_open(&world, "e01", SECOND));
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn an_own_loss_counts_and_an_own_answer_since_says_more() {
+fn own_loss_counts_until_own_request_is_answered() {
     let mut world = world("trouttrack", vec![named(1, false)]);
     let place = |world: &mut trouttrack_core::world::World| {
         let request = world.submit(SECOND, submission("r", "o", 1));
@@ -132,11 +132,11 @@
     world.ended(SECOND, request, true, None);
     world.peer_uses(SECOND, "p", HOME, &lost("e01", 50));
     assert!(!is_open(&world, "e01", SECOND));
-    // What it tells peers itself.
+    // Its own report to peers.
     assert_eq!(world.own_uses(SECOND)[0].lost_ms, Some(0));
     let later = SECOND + Duration::from_millis(600);
     assert!(world.own_uses(later).is_empty());
-    // Answered since: what others lost before says nothing.
+    // After an answered request, earlier losses of peers do not count.
     let request = world.submit(later, submission("r2", "o", 1));
     world.tick(later);
     world.ended(later, request, false, Some(1));
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn what_peers_elsewhere_lost_says_nothing_of_the_way_from_here() {
+fn losses_at_peers_of_another_domain_do_not_count() {
     let mut world = world("trouttrack", vec![named(1, false)]);
     for peer in ["p", "q", "r"] {
         world.peer_uses(SECOND, peer, "b", &lost("e01", 0));
