--- a/trouttrack_core/src/routing/mod.rs
+++ b/trouttrack_core/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Choosing an upstream for a request.
+//! Selection of an upstream for a request.
 
 mod baselines;
 mod explain;
--- a/trouttrack_core/src/upstream/notices.rs
+++ b/trouttrack_core/src/upstream/notices.rs
@@ -12,8 +12,9 @@
 /// Upper bound for requested pauses. Upstreams usually ask for several seconds; one that asks
 /// for hours by mistake would stay unused, and one that still needs a pause asks again.
 pub const LONGEST_PAUSE: Duration = Duration::from_secs(600);
-/// How long notices are kept once their incarnation is no longer listed: as long as the
-/// longest pause, and much longer than the seconds after which an upstream is listed again.
+/// How long the notices of an incarnation that is no longer listed are kept, counted from its
+/// last notice: as long as the longest pause, and much longer than the seconds after which an
+/// upstream is listed again.
 const RETENTION: Duration = LONGEST_PAUSE;
 
 /// How long the end of a limit is reported to other VMs.
--- a/trouttrack_core/src/upstream/row.rs
+++ b/trouttrack_core/src/upstream/row.rs
@@ -46,7 +46,7 @@
     /// Last reported use by each peer that uses it.
     pub(crate) peers: Vec<PeerUse>,
     /// Whether peers report their use, so that a missing report means no use.
-    hears_peers: bool,
+    peers_report_use: bool,
     /// Requests handed over since the last report.
     pub since_report: usize,
     /// Requests ended since the last report.
@@ -72,14 +72,14 @@
 
 impl Upstream {
     /// Creates the state of an unused upstream.
-    pub(super) fn new(spec: Spec, hears_peers: bool) -> Self {
+    pub(super) fn new(spec: Spec, peers_report_use: bool) -> Self {
         Self {
             spec,
             report: Report::default(),
             own_running: 0,
             own: Vec::new(),
             peers: Vec::new(),
-            hears_peers,
+            peers_report_use,
             since_report: 0,
             ended_since_report: 0,
             leaving: false,
@@ -109,7 +109,7 @@
     /// requests handed over since, minus those ended since.
     #[must_use]
     pub fn estimated_running(&self) -> usize {
-        if self.hears_peers {
+        if self.peers_report_use {
             let peers: usize = self.peers.iter().map(|p| p.running).sum();
             return self.own_running + peers;
         }
@@ -122,7 +122,7 @@
     /// As `estimated_running`, without calls of peers that should have ended by `now`.
     fn running_at(&self, now: Time) -> usize {
         let is_plain = self.spec.capacity_tokens == 0;
-        if !self.hears_peers || !is_plain {
+        if !self.peers_report_use || !is_plain {
             return self.estimated_running();
         }
         let peers: usize = self.peers.iter().map(|p| p.running_calls(now)).sum();
@@ -147,7 +147,7 @@
     pub fn peak_tokens(&self, new: Option<OwnRun>) -> f64 {
         let now = self.own_held();
         let peak = peak(&self.own, new);
-        if self.hears_peers {
+        if self.peers_report_use {
             let peers: f64 = self.peers.iter().map(PeerUse::expected_tokens).sum();
             return peak + peers;
         }
@@ -316,7 +316,7 @@
 
     /// Records that peers report their use from now on.
     pub(super) fn hear_peers(&mut self) {
-        self.hears_peers = true;
+        self.peers_report_use = true;
     }
 
     /// Replaces the reported use of a peer.
--- a/trouttrack_core/src/upstream/shared_rate.rs
+++ b/trouttrack_core/src/upstream/shared_rate.rs
@@ -95,22 +95,22 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Handovers {
     /// Total number of hand-overs by this VM.
-    own: u32,
+    own_total: u32,
     /// Times of this VM's recent hand-overs.
-    own_at: VecDeque<Time>,
+    own_times: VecDeque<Time>,
     /// Last reported total of each peer.
-    told: HashMap<Teller, u32>,
+    peer_totals: HashMap<Teller, u32>,
     /// Times at which recent hand-overs were made by this VM or reported by peers.
-    at: VecDeque<Time>,
+    times: VecDeque<Time>,
 }
 
 impl Handovers {
-    /// Records a hand-over by this VM.
+    /// Records a hand-over by this VM at `now`.
     pub(crate) fn given(&mut self, now: Time) {
-        self.own = self.own.saturating_add(1);
-        self.own_at
+        self.own_total = self.own_total.saturating_add(1);
+        self.own_times
             .retain(|at| now.saturating_sub(*at) < COUNT_WINDOW);
-        self.own_at.push_back(now);
+        self.own_times.push_back(now);
         self.add(now, 1);
     }
 
@@ -120,31 +120,32 @@
         if told.all == 0 {
             return;
         }
-        let before = self.told.insert(teller.clone(), told.all);
+        let before = self.peer_totals.insert(teller.clone(), told.all);
         let new = before.and_then(|before| told.all.checked_sub(before));
         self.add(now, new.unwrap_or(told.recent));
     }
 
     fn add(&mut self, now: Time, count: u32) {
-        self.at.retain(|at| now.saturating_sub(*at) < COUNT_WINDOW);
+        self.times
+            .retain(|at| now.saturating_sub(*at) < COUNT_WINDOW);
         let count = (count as usize).min(MAX_COUNTED);
-        self.at.extend(std::iter::repeat_n(now, count));
-        let older = self.at.len().saturating_sub(MAX_COUNTED);
-        self.at.drain(..older);
+        self.times.extend(std::iter::repeat_n(now, count));
+        let older = self.times.len().saturating_sub(MAX_COUNTED);
+        self.times.drain(..older);
     }
 
     /// Returns this VM's own counts, to be reported to peers.
     pub(crate) fn own(&self, now: Time) -> ToldHandovers {
         let recent = |at: &&Time| now.saturating_sub(**at) < COUNT_WINDOW;
         ToldHandovers {
-            all: self.own,
-            recent: self.own_at.iter().filter(recent).count() as u32,
+            all: self.own_total,
+            recent: self.own_times.iter().filter(recent).count() as u32,
         }
     }
 
-    fn within(&self, now: Time, window: Time) -> usize {
+    fn count_within(&self, now: Time, window: Time) -> usize {
         let recent = |at: &&Time| now.saturating_sub(**at) < window;
-        self.at.iter().filter(recent).count()
+        self.times.iter().filter(recent).count()
     }
 }
 
@@ -184,7 +185,7 @@
             .floor()
             .max(1.0);
         let next_at = known
-            .at
+            .times
             .iter()
             .fold(Time::ZERO, |next_at, at| next_at.max(*at) + each);
         next_at <= now + each.mul_f64(burst - 1.0)
@@ -199,8 +200,8 @@
             .floor()
             .max(1.0);
         let chance = self.per_second / self.vms as f64;
-        let free = known.within(now, SECOND) == 0;
-        free && (known.within(now, COUNT_WINDOW) as f64) < max_in_window
+        let free = known.count_within(now, SECOND) == 0;
+        free && (known.count_within(now, COUNT_WINDOW) as f64) < max_in_window
             && draw(now, id, seed) < chance
     }
 }
--- a/trouttrack_core/src/upstream/table.rs
+++ b/trouttrack_core/src/upstream/table.rs
@@ -15,7 +15,7 @@
     by_id: HashMap<UpstreamId, UpstreamKey>,
     by_service: HashMap<String, Serving>,
     /// Whether peers report their use of upstreams.
-    hears_peers: bool,
+    peers_report_use: bool,
     /// Failure domains whose upstreams get no new requests.
     evacuations: Evacuations,
 }
@@ -72,7 +72,7 @@
             }
             None => {
                 let id = spec.id.clone();
-                let key = self.rows.insert(Upstream::new(spec, self.hears_peers));
+                let key = self.rows.insert(Upstream::new(spec, self.peers_report_use));
                 self.by_id.insert(id, key);
                 key
             }
@@ -172,7 +172,7 @@
     /// Records that peers report their use of upstreams, so that an upstream without reports is
     /// unused by peers.
     pub(crate) fn hear_peers(&mut self) {
-        if !mem::replace(&mut self.hears_peers, true) {
+        if !mem::replace(&mut self.peers_report_use, true) {
             self.rows.values_mut().for_each(Upstream::hear_peers);
         }
     }
--- a/trouttrack_core/tests/core/cold.rs
+++ b/trouttrack_core/tests/core/cold.rs
@@ -22,7 +22,7 @@
     most_within(sent, SECOND)
 }
 
-fn max_per_second() -> usize {
+fn request_limit() -> usize {
     (RATE * MAX_RATE_FACTOR + EXTRA_REQUESTS) as usize
 }
 
@@ -47,8 +47,8 @@
             domains, vms, upstreams, bounded: Bounded::Cold(RATE), in_touch, loss, asked
         };
         let sent = fleet.play(seed, Duration::from_secs(6));
-        let max = max_in_one_second(&sent);
-        prop_assert!(max <= max_per_second(), "{max} requests in one second");
+        let max_requests = max_in_one_second(&sent);
+        prop_assert!(max_requests <= request_limit(), "{max_requests} requests in one second");
     }
 }
 
@@ -67,10 +67,10 @@
         asked: 304.827_684_431_297_8,
     };
     for seed in 70..90 {
-        let max = max_in_one_second(&fleet.play(seed, Duration::from_secs(6)));
+        let max_requests = max_in_one_second(&fleet.play(seed, Duration::from_secs(6)));
         assert!(
-            max <= max_per_second(),
-            "{max} requests in one second with seed {seed}"
+            max_requests <= request_limit(),
+            "{max_requests} requests in one second with seed {seed}"
         );
     }
 }
@@ -120,9 +120,12 @@
             asked: 600.0,
         };
         let sent = fleet.play(seed, SECOND * (1 + SECONDS as u32));
-        let max = (LOW * MAX_RATE_FACTOR * SECONDS as f64 + EXTRA_REQUESTS) as usize;
+        let max_requests = (LOW * MAX_RATE_FACTOR * SECONDS as f64 + EXTRA_REQUESTS) as usize;
         let all = sent.len();
-        assert!(all <= max, "{all} requests in {SECONDS} s, limit {max}");
+        assert!(
+            all <= max_requests,
+            "{all} requests in {SECONDS} s, limit {max_requests}"
+        );
         assert!(
             all as f64 >= LOW * SECONDS as f64 / 2.0,
             "only {all} requests"
@@ -142,8 +145,11 @@
             loss: 0.01,
             asked: 600.0,
         };
-        let max = max_in_one_second(&fleet.play(seed, Duration::from_secs(4)));
-        assert!(max <= max_per_second(), "{max} requests in one second");
+        let max_requests = max_in_one_second(&fleet.play(seed, Duration::from_secs(4)));
+        assert!(
+            max_requests <= request_limit(),
+            "{max_requests} requests in one second"
+        );
     }
 }
 
--- a/trouttrack_core/tests/core/rate_limits.rs
+++ b/trouttrack_core/tests/core/rate_limits.rs
@@ -22,7 +22,7 @@
 const NOW: Time = Duration::from_secs(100);
 const SECOND: Duration = Duration::from_secs(1);
 
-fn bound(per_second: f64) -> usize {
+fn request_limit(per_second: f64) -> usize {
     (per_second * MAX_RATE_FACTOR * WINDOW.as_secs_f64() + EXTRA_REQUESTS) as usize
 }
 
@@ -53,8 +53,8 @@
     ) {
         let bounded = Bounded::Named(per_second);
         let fleet = Fleet { domains, vms, upstreams, bounded, in_touch, loss, asked };
-        let max = max_in_window(fleet, seed);
-        prop_assert!(max <= bound(per_second), "{max} requests, limit {}", bound(per_second));
+        let max_requests = max_in_window(fleet, seed);
+        prop_assert!(max_requests <= request_limit(per_second), "{max_requests} requests, limit {}", request_limit(per_second));
     }
 }
 
@@ -70,10 +70,10 @@
             loss: 0.01,
             asked: 600.0,
         };
-        let max = max_in_window(fleet, seed);
+        let max_requests = max_in_window(fleet, seed);
         assert!(
-            max <= bound(per_second),
-            "{max} requests at a limit of {per_second} per second"
+            max_requests <= request_limit(per_second),
+            "{max_requests} requests at a limit of {per_second} per second"
         );
     }
 }
