--- a/trouttrack_core/src/quarantine/keepers.rs
+++ b/trouttrack_core/src/quarantine/keepers.rs
@@ -1,19 +1,21 @@
-//! Which VMs keep account of a request.
+//! Choice of the VMs that keep the crash record of a request.
 
 use crate::Fingerprint;
 use std::cmp::Reverse;
 use std::hash::{Hash, Hasher};
 use xxhash_rust::xxh3::Xxh3;
 
-/// VMs that keep account of a request. All of up to this many do; of more, these many: a
-/// sixth of them may be cut off and a datagram in a hundred lost, and one in a million ends
-/// still reaches nobody.
-const KEEPERS: usize = 8;
+/// Number of VMs that keep the crash record of a request; in a smaller fleet all do. With a
+/// sixth of the VMs cut off and 1 % of datagrams lost, one crash in a million reaches none
+/// of them.
+const RECORD_COPIES: usize = 8;
 
-/// The VMs that keep account of a request, of all `vms`: every VM draws the same ones, and
-/// another few for each request. An end told to these costs the same in a fleet of any size;
-/// told to all of 295 VMs, the loss of a sixth of 122 engines with all that they ran would
-/// take 33 kB of each VM at once.
+/// Selects from `vms` the VMs that keep the crash record of a request, by rendezvous
+/// hashing: every VM selects the same ones, and different requests select different ones.
+///
+/// Reporting a crash to these VMs costs the same in a fleet of any size. Reporting to all of
+/// 295 VMs, the loss of a sixth of 122 engines with all their requests would cost each VM
+/// 33 kB at once.
 ///
 /// # Examples
 ///
@@ -34,7 +36,7 @@
         .map(|vm| (Reverse(rank(request, name(&vm))), vm))
         .collect();
     ranked.sort_unstable_by_key(|(rank, _)| *rank);
-    ranked.truncate(KEEPERS);
+    ranked.truncate(RECORD_COPIES);
     ranked.into_iter().map(|(_, vm)| vm).collect()
 }
 
--- a/trouttrack_core/src/quarantine/mod.rs
+++ b/trouttrack_core/src/quarantine/mod.rs
@@ -1,20 +1,20 @@
-//! Requests that end what runs them.
+//! Quarantine of requests that crash upstreams (poison requests).
 //!
-//! Some requests crash each upstream that begins to run them. Such a request comes back
-//! under another id, at any VM, so nothing that belongs to one arrival bounds what it
-//! ends. It is told by its [`Fingerprint`](crate::Fingerprint), and under each one it is
-//! remembered which upstreams ended. From some number of ends on the request is held:
-//! no VM sends it to an upstream until the hold is over.
+//! Some requests crash every upstream that starts to run them. Such a request is sent again
+//! under a new id and to any VM, so per-request retry limits do not bound the number of
+//! crashes. It is identified by its [`Fingerprint`](crate::Fingerprint), and the upstreams
+//! that crashed while running it are recorded per fingerprint. From a configured number of
+//! crashes on the request is held: no VM sends it to an upstream until the hold expires.
 //!
-//! An upstream that ends takes many requests with it, and only one of them is the cause.
-//! Those that merely ran there are told apart by time: a request is held only when
-//! several upstreams ended under it in a row, with no run of it that came to its end in
-//! between ([`Quarantine::ran_well`]).
+//! Any unannounced end of an upstream counts as a crash, for example the loss of its rack.
+//! A crash ends all requests on the upstream, and at most one of them is the cause. A
+//! request is therefore held only if several upstreams crashed in a row while running it,
+//! without a completed run of it in between ([`Quarantine::ran_well`]).
 //!
-//! VMs merge what they know. Each keeps the union of the ends and the newest good run, so
-//! the order in which word arrives does not matter, nor whether it arrives twice. A single
-//! end is told to the few VMs that keep account of the request ([`keepers`]); what is held
-//! is told to all.
+//! VMs merge their records. Each keeps the union of the crashes and the latest completed
+//! run, so messages may arrive in any order and more than once. A single crash is reported
+//! to the few VMs that keep the record of the request ([`keepers`]); held requests are
+//! reported to all VMs.
 
 mod keepers;
 mod record;
@@ -24,5 +24,5 @@
 
 pub use keepers::keepers;
 pub use settings::QuarantineSettings;
-pub use suspect::{Suspect, UpstreamEnd};
+pub use suspect::{Suspect, UpstreamCrash};
 pub use table::{Heard, Hold, Quarantine};
--- a/trouttrack_core/src/quarantine/record.rs
+++ b/trouttrack_core/src/quarantine/record.rs
@@ -1,89 +1,91 @@
-//! What is remembered of one request.
+//! Crash record of one request.
 
-use super::suspect::{Suspect, UpstreamEnd};
+use super::suspect::{Suspect, UpstreamCrash};
 use crate::upstream::Incarnation;
 use crate::{Fingerprint, Time};
 use std::time::Duration;
 
-/// Ends that are remembered of a request: more than hold it say nothing new.
-const MOST_ENDS: usize = 8;
+/// Maximum number of crashes recorded per request. Crashes beyond the number that holds a
+/// request give no further information.
+const MAX_ENDS: usize = 8;
 
+/// Crash of an upstream.
 #[derive(Clone, Debug)]
-struct End {
+struct Crash {
     upstream: Incarnation,
     at: Time,
 }
 
-/// What is remembered of one request.
+/// Crash record of one request.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Record {
     /// Oldest first.
-    ends: Vec<End>,
+    ends: Vec<Crash>,
     ran_well_at: Option<Time>,
 }
 
 impl Record {
-    /// An upstream ended. Returns whether that is new: it ends once, whoever notices it and
-    /// when.
+    /// Records a crash of an upstream. Returns whether it is new: an incarnation crashes only
+    /// once, whichever VM notices it and when.
     pub(super) fn ended(&mut self, upstream: &Incarnation, at: Time) -> bool {
         if let Some(known) = self.ends.iter_mut().find(|e| e.upstream == *upstream) {
             known.at = known.at.min(at);
             self.ends.sort_by_key(|e| e.at);
             return false;
         }
-        let end = End {
+        let end = Crash {
             upstream: upstream.clone(),
             at,
         };
-        let place = self.ends.partition_point(|e| e.at <= at);
-        self.ends.insert(place, end);
-        if self.ends.len() > MOST_ENDS {
+        let index = self.ends.partition_point(|e| e.at <= at);
+        self.ends.insert(index, end);
+        if self.ends.len() > MAX_ENDS {
             self.ends.remove(0);
         }
         true
     }
 
-    /// A run came to its end.
+    /// Records a completed run.
     pub(super) fn ran_well(&mut self, at: Time) {
         self.ran_well_at = self.ran_well_at.max(Some(at));
     }
 
-    /// The ends that count against it: those since the last good run.
-    fn counted(&self) -> impl Iterator<Item = &End> {
+    /// Crashes since the latest completed run, which are the ones that count.
+    fn counted(&self) -> impl Iterator<Item = &Crash> {
         let since = self.ran_well_at;
-        let counts = move |e: &&End| since.is_none_or(|at| e.at > at);
+        let counts = move |e: &&Crash| since.is_none_or(|at| e.at > at);
         self.ends.iter().filter(counts)
     }
 
-    /// How many ends count against it.
+    /// Number of crashes that count.
     pub(super) fn count(&self) -> usize {
         self.counted().count()
     }
 
-    /// The upstreams whose ends count against it.
+    /// Upstreams whose crashes count.
     pub(super) fn upstreams(&self) -> impl Iterator<Item = &Incarnation> {
         self.counted().map(|e| &e.upstream)
     }
 
-    /// How long ago a run last came to its end.
+    /// Time since the latest completed run.
     pub(super) fn ran_well_ago(&self, now: Time) -> Option<Duration> {
         self.ran_well_at.map(|at| now.saturating_sub(at))
     }
 
-    /// When the last end was.
+    /// Time of the latest crash.
     pub(super) fn last_at(&self) -> Time {
         self.ends.last().map_or(Time::ZERO, |e| e.at)
     }
 
-    /// Whether it still says anything: its last end is younger than `keep`.
-    pub(super) fn says_anything(&self, now: Time, keep: Duration) -> bool {
+    /// Whether the latest crash is more recent than `keep`.
+    pub(super) fn is_current(&self, now: Time, keep: Duration) -> bool {
         now.saturating_sub(self.last_at()) < keep
     }
 
-    /// What is told of it.
-    pub(super) fn told(&self, fingerprint: Fingerprint, now: Time) -> Suspect {
+    /// The record as sent to other VMs.
+    pub(super) fn to_suspect(&self, fingerprint: Fingerprint, now: Time) -> Suspect {
         let ago_ms = |at: Time| now.saturating_sub(at).as_millis() as u64;
-        let ends = self.ends.iter().map(|e| UpstreamEnd {
+        let ends = self.ends.iter().map(|e| UpstreamCrash {
             upstream: e.upstream.clone(),
             ago_ms: ago_ms(e.at),
         });
--- a/trouttrack_core/src/quarantine/settings.rs
+++ b/trouttrack_core/src/quarantine/settings.rs
@@ -1,18 +1,20 @@
-//! When a request is held, and for how long.
+//! Quarantine settings.
 
 use std::time::Duration;
 
-/// Upstreams that end under a request before it is held: after one, each request that
-/// merely ran there would be. In 40 runs of a model of 6 VMs before 9 engines, 172 engines
-/// ended under a request that came 48 times each run, with 3 it were 231; of 19,840 other
-/// requests 430 lost an engine and 10 were refused for what ended beside them, with 3 it
-/// were 652 and 2. With 3 one more engine also ends each time that the hold is over.
-const ENDS: usize = 2;
-/// How long a request is held after the last end under it: what runs it is replaced by
-/// people, which takes minutes, and each time that the hold is over it may end some more.
-const HOLD: Duration = Duration::from_secs(600);
+/// Default number of upstream crashes after which a request is held. With 1, every request
+/// that ran beside the cause would be held.
+///
+/// In 40 simulated runs of 6 VMs and 9 engines with a poison request sent 48 times per run,
+/// 172 engines crashed with a value of 2, and 231 with 3. Of 19,840 other requests 430 lost
+/// an engine and 10 were refused because of crashes that they had not caused; with 3 these
+/// were 652 and 2. With 3, one more engine also crashes each time that the hold expires.
+const DEFAULT_ENDS: usize = 2;
+/// Default hold after the latest crash. The software that the request crashes is replaced by
+/// operators, which takes minutes, and after each expiry the request may crash more engines.
+const DEFAULT_HOLD: Duration = Duration::from_secs(600);
 
-/// When a request is held, and for how long.
+/// Settings of the quarantine.
 ///
 /// # Examples
 ///
@@ -22,17 +24,17 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuarantineSettings {
-    /// Upstreams that end under a request before it is held; 0 holds none.
+    /// Number of upstream crashes after which a request is held; 0 disables the quarantine.
     pub ends: usize,
-    /// How long it is held after the last end.
+    /// Duration of the hold after the latest crash.
     pub hold: Duration,
 }
 
 impl Default for QuarantineSettings {
     fn default() -> Self {
         Self {
-            ends: ENDS,
-            hold: HOLD,
+            ends: DEFAULT_ENDS,
+            hold: DEFAULT_HOLD,
         }
     }
 }
--- a/trouttrack_core/src/quarantine/suspect.rs
+++ b/trouttrack_core/src/quarantine/suspect.rs
@@ -1,25 +1,25 @@
-//! What VMs tell each other of requests under which upstreams ended.
+//! Records that VMs exchange about requests whose upstreams crashed.
 
 use crate::Fingerprint;
 use crate::upstream::Incarnation;
 use serde::{Deserialize, Serialize};
 
-/// An upstream that ended under a request.
+/// Crash of an upstream while it ran a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UpstreamEnd {
-    /// The upstream.
+pub struct UpstreamCrash {
+    /// Incarnation that crashed.
     pub upstream: Incarnation,
-    /// How long ago, in milliseconds.
+    /// Age of the crash in milliseconds.
     pub ago_ms: u64,
 }
 
-/// A request under which upstreams ended, as told to other VMs.
+/// Record of a request whose upstreams crashed, as sent to other VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// The upstreams that ended under it.
-    pub ends: Vec<UpstreamEnd>,
-    /// How long ago a run of it last came to its end, in milliseconds.
+    /// Crashes of upstreams while they ran it.
+    pub ends: Vec<UpstreamCrash>,
+    /// Age of the latest completed run in milliseconds.
     pub ran_well_ago_ms: Option<u64>,
 }
--- a/trouttrack_core/src/quarantine/table.rs
+++ b/trouttrack_core/src/quarantine/table.rs
@@ -1,4 +1,4 @@
-//! The requests under which upstreams ended.
+//! Table of requests whose upstreams crashed.
 
 use super::record::Record;
 use super::settings::QuarantineSettings;
@@ -11,29 +11,29 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Requests that are remembered. One takes some 0.3 kB, so all take 0.6 MB; the loss of
-/// a sixth of 122 engines with 24 requests each is remembered whole.
-const MOST_REQUESTS: usize = 2048;
+/// Maximum number of recorded requests. A record takes about 0.3 kB, so the table takes up
+/// to 0.6 MB. It covers the loss of a sixth of 122 engines with 24 requests each.
+const MAX_REQUESTS: usize = 2048;
 
-/// A request that no upstream is to run.
+/// Hold on a request, which no upstream may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hold {
-    /// Upstreams that ended under it.
+    /// Number of upstreams that crashed while running it.
     pub ends: usize,
-    /// How long it is still held.
+    /// Remaining duration of the hold.
     pub left: Duration,
 }
 
-/// What was new in another VM's word.
+/// Result of merging the records of another VM.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Heard {
-    /// Requests that are held from now on.
+    /// Requests that are held as a result.
     pub held: Vec<Fingerprint>,
-    /// Requests that ran well since, which the other VM does not know.
+    /// Requests with a later completed run that the other VM does not know of.
     pub known_better: Vec<Fingerprint>,
 }
 
-/// The requests under which upstreams ended.
+/// Table of requests whose upstreams crashed.
 ///
 /// # Examples
 ///
@@ -49,79 +49,79 @@
 ///     quarantine.ended(now, 7, &Incarnation::new(id, 0));
 /// }
 /// assert_eq!(quarantine.hold(now, 7).unwrap().ends, 2);
-/// // Another one is not held, although it ran there as well once.
+/// // Another request that ran on one of these upstreams is not held.
 /// quarantine.ended(now, 8, &Incarnation::new("u1", 0));
 /// assert!(quarantine.hold(now, 8).is_none());
 /// ```
 #[derive(Clone, Debug)]
 pub struct Quarantine {
     settings: QuarantineSettings,
-    /// Their times are those of the clock put off by a hold, so that what happened before
-    /// this VM started keeps its order.
+    /// Times in the records are offset by one hold duration, so that events from before
+    /// this VM's start have positive times and keep their order.
     requests: HashMap<Fingerprint, Record>,
-    /// What [`checksum`](Self::checksum) says, until something changes: it is asked for
-    /// with each heartbeat that is heard.
-    sum: Cell<Option<u64>>,
+    /// Cached [`checksum`](Self::checksum), which is read for every heartbeat received;
+    /// `None` after a change.
+    cached_checksum: Cell<Option<u64>>,
 }
 
 impl Quarantine {
-    /// Nothing is remembered yet.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(settings: QuarantineSettings) -> Self {
         Self {
             settings,
             requests: HashMap::new(),
-            sum: Cell::new(Some(0)),
+            cached_checksum: Cell::new(Some(0)),
         }
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no request is recorded.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// How many requests are remembered.
+    /// Number of recorded requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// An upstream ended while it ran a request. Returns whether that is new.
+    /// Records that an upstream crashed while it ran a request. Returns whether that is new.
     pub fn ended(&mut self, now: Time, request: Fingerprint, upstream: &Incarnation) -> bool {
-        self.ended_at(self.put_off(now), request, upstream)
+        self.record_crash(self.offset(now), request, upstream)
     }
 
-    fn put_off(&self, now: Time) -> Time {
+    fn offset(&self, now: Time) -> Time {
         now + self.settings.hold
     }
 
-    fn ended_at(&mut self, at: Time, request: Fingerprint, upstream: &Incarnation) -> bool {
+    fn record_crash(&mut self, at: Time, request: Fingerprint, upstream: &Incarnation) -> bool {
         if self.settings.ends == 0 {
             return false;
         }
         if !self.requests.contains_key(&request) {
-            self.make_room();
+            self.evict_if_full();
         }
         let record = self.requests.entry(request).or_default();
-        self.sum.set(None);
+        self.cached_checksum.set(None);
         record.ended(upstream, at)
     }
 
-    /// A run of a request came to its end: what ended under it before speaks no more
-    /// against it. Returns whether anything did.
+    /// Records a completed run of a request, after which earlier crashes no longer count.
+    /// Returns whether there were any that counted.
     pub fn ran_well(&mut self, now: Time, request: Fingerprint) -> bool {
-        let now = self.put_off(now);
+        let now = self.offset(now);
         let Some(record) = self.requests.get_mut(&request) else {
             return false;
         };
         let counted = record.count() > 0;
         record.ran_well(now);
-        self.sum.set(None);
+        self.cached_checksum.set(None);
         counted
     }
 
-    /// Whether a request is to be run by no upstream.
+    /// The hold on a request, if it is held.
     #[must_use]
     pub fn hold(&self, now: Time, request: Fingerprint) -> Option<Hold> {
         let record = self.requests.get(&request)?;
@@ -134,34 +134,34 @@
             return None;
         }
         let over_at = record.last_at() + self.settings.hold;
-        let left = over_at.saturating_sub(self.put_off(now));
+        let left = over_at.saturating_sub(self.offset(now));
         (!left.is_zero()).then_some(Hold { ends, left })
     }
 
-    /// How many requests are held.
+    /// Number of held requests.
     #[must_use]
     pub fn held(&self, now: Time) -> usize {
         let records = self.requests.values();
         records.filter(|r| self.hold_of(now, r).is_some()).count()
     }
 
-    /// The requests that are held, and those that ran well after upstreams had ended under them,
-    /// which may have been held before.
+    /// Requests that are held, and those with a completed run after crashes, which may have
+    /// been held before.
     pub fn held_now_or_before(&self, now: Time) -> impl Iterator<Item = Fingerprint> {
         let records = self.requests.iter();
         let chosen = records.filter(move |(_, r)| r.count() == 0 || self.hold_of(now, r).is_some());
         chosen.map(|(request, _)| *request)
     }
 
-    /// The upstreams whose ends count against a request.
+    /// Upstreams whose crashes count for a request.
     #[must_use]
     pub fn ended_under(&self, request: Fingerprint) -> Vec<Incarnation> {
         let record = self.requests.get(&request);
         record.map_or_else(Vec::new, |r| r.upstreams().cloned().collect())
     }
 
-    /// A request that VMs held before, read where they keep it. It counts as held from now
-    /// on, unless something is known of it here. Returns whether it is new.
+    /// Restores a request that was held before, as read from the store. The hold starts now,
+    /// unless the request is already recorded. Returns whether a hold was added.
     pub fn restore(&mut self, now: Time, request: Fingerprint, ended: &[Incarnation]) -> bool {
         if self.requests.contains_key(&request) {
             return false;
@@ -172,54 +172,55 @@
         self.hold(now, request).is_some()
     }
 
-    /// Forgets what is older than a hold. Returns the requests that were held.
+    /// Drops records older than a hold. Returns those requests that had been held.
     pub fn expire(&mut self, now: Time) -> Vec<Fingerprint> {
-        let (now, keep) = (self.put_off(now), self.settings.hold);
+        let (now, keep) = (self.offset(now), self.settings.hold);
         let ends = self.settings.ends;
         let mut over = Vec::new();
         self.requests.retain(|request, record| {
-            let keeps = record.says_anything(now, keep);
+            let keeps = record.is_current(now, keep);
             if !keeps && record.count() >= ends {
                 over.push(*request);
             }
             keeps
         });
         if !over.is_empty() {
-            self.sum.set(None);
+            self.cached_checksum.set(None);
         }
         over
     }
 
-    /// What is told of some requests.
+    /// The records of some requests, as sent to other VMs.
     #[must_use]
     pub fn told_of(&self, now: Time, requests: &[Fingerprint]) -> Vec<Suspect> {
-        let now = self.put_off(now);
+        let now = self.offset(now);
         let known = requests.iter().filter_map(|&request| {
             let record = self.requests.get(&request)?;
-            Some(record.told(request, now))
+            Some(record.to_suspect(request, now))
         });
         known.collect()
     }
 
-    /// What is told to a VM that holds other requests: those held here, at most `most` of
-    /// them, the last held first. Such a VM has just started, was cut off, or a datagram
-    /// was lost.
+    /// Records sent to a VM whose checksum differs: up to `limit` held requests, most recent
+    /// crash first. The VM has just started, was cut off, or missed a datagram.
     #[must_use]
-    pub fn told(&self, now: Time, most: usize) -> Vec<Suspect> {
-        let mut order: Vec<(&Fingerprint, &Record)> = self.convicted().collect();
+    pub fn told(&self, now: Time, limit: usize) -> Vec<Suspect> {
+        let mut order: Vec<(&Fingerprint, &Record)> = self.with_enough_ends().collect();
         order.sort_unstable_by_key(|(request, r)| std::cmp::Reverse((r.last_at(), **request)));
-        let now = self.put_off(now);
-        let first = order.into_iter().take(most);
-        first.map(|(request, r)| r.told(*request, now)).collect()
+        let now = self.offset(now);
+        let first = order.into_iter().take(limit);
+        first
+            .map(|(request, r)| r.to_suspect(*request, now))
+            .collect()
     }
 
-    /// Those with as many ends as hold a request.
-    fn convicted(&self) -> impl Iterator<Item = (&Fingerprint, &Record)> {
+    /// Records with enough crashes for a hold.
+    fn with_enough_ends(&self) -> impl Iterator<Item = (&Fingerprint, &Record)> {
         let all = self.requests.iter();
         all.filter(|(_, r)| r.count() >= self.settings.ends)
     }
 
-    /// Takes in what another VM knows.
+    /// Merges records of another VM.
     pub fn hear(&mut self, now: Time, told: &[Suspect]) -> Heard {
         let mut heard = Heard::default();
         for suspect in told {
@@ -229,18 +230,18 @@
             if !was_held && self.hold(now, request).is_some() {
                 heard.held.push(request);
             }
-            if self.knows_better(now, suspect) {
+            if self.has_newer_run(now, suspect) {
                 heard.known_better.push(request);
             }
         }
         heard
     }
 
-    /// Whether a run that came to its end after all that was told is known here, and not
-    /// there.
-    fn knows_better(&self, now: Time, suspect: &Suspect) -> bool {
+    /// Whether this VM knows a completed run later than all crashes in the received record,
+    /// and the sender does not.
+    fn has_newer_run(&self, now: Time, suspect: &Suspect) -> bool {
         let record = self.requests.get(&suspect.fingerprint);
-        let ran_well = record.and_then(|r| r.ran_well_ago(self.put_off(now)));
+        let ran_well = record.and_then(|r| r.ran_well_ago(self.offset(now)));
         let Some(ago) = ran_well else {
             return false;
         };
@@ -251,46 +252,47 @@
     }
 
     fn merge(&mut self, now: Time, suspect: &Suspect) {
-        let now = self.put_off(now);
-        let at = |ago_ms: u64| now.saturating_sub(Duration::from_millis(ago_ms));
+        let now = self.offset(now);
+        let time_of = |ago_ms: u64| now.saturating_sub(Duration::from_millis(ago_ms));
         let last = suspect.ends.iter().map(|e| e.ago_ms).min();
         let is_over = |ago_ms| Duration::from_millis(ago_ms) >= self.settings.hold;
         if last.is_none_or(is_over) {
             return;
         }
         for end in &suspect.ends {
-            self.ended_at(at(end.ago_ms), suspect.fingerprint, &end.upstream);
+            self.record_crash(time_of(end.ago_ms), suspect.fingerprint, &end.upstream);
         }
         if let Some(ago_ms) = suspect.ran_well_ago_ms
             && let Some(record) = self.requests.get_mut(&suspect.fingerprint)
         {
-            record.ran_well(at(ago_ms));
-            self.sum.set(None);
+            record.ran_well(time_of(ago_ms));
+            self.cached_checksum.set(None);
         }
     }
 
-    /// A sum over what is held: two VMs with the same one hold the same. 0 for nothing.
+    /// Checksum over the requests with enough crashes for a hold, by which VMs compare their
+    /// tables; 0 if there are none.
     #[must_use]
     pub fn checksum(&self) -> u64 {
-        if let Some(sum) = self.sum.get() {
-            return sum;
+        if let Some(checksum) = self.cached_checksum.get() {
+            return checksum;
         }
-        let sum = self.sum_of_held();
-        self.sum.set(Some(sum));
-        sum
+        let checksum = self.compute_checksum();
+        self.cached_checksum.set(Some(checksum));
+        checksum
     }
 
-    fn sum_of_held(&self) -> u64 {
-        self.convicted().fold(0, |sum, (request, _)| {
+    fn compute_checksum(&self) -> u64 {
+        self.with_enough_ends().fold(0, |sum, (request, _)| {
             let mut hasher = Xxh3::new();
             request.hash(&mut hasher);
             sum ^ hasher.finish()
         })
     }
 
-    /// Makes room for one more: what has the fewest ends goes first, then the oldest.
-    fn make_room(&mut self) {
-        if self.requests.len() < MOST_REQUESTS {
+    /// Evicts a record if the table is full: the one with the fewest crashes, then the oldest.
+    fn evict_if_full(&mut self) {
+        if self.requests.len() < MAX_REQUESTS {
             return;
         }
         let least = self.requests.iter();
--- a/trouttrack_core/src/request/budget.rs
+++ b/trouttrack_core/src/request/budget.rs
@@ -1,11 +1,11 @@
-//! A budget that keeps retries from melting what still works.
+//! Retry budget that prevents retries from overloading the remaining upstreams.
 
-/// Retries allowed when there has been no traffic for a while.
-const SMALLEST: f64 = 10.0;
-/// The most retries that can be saved up.
-const LARGEST: f64 = 100.0;
+/// Retries available before any traffic.
+const INITIAL_RETRIES: f64 = 10.0;
+/// Maximum number of unused retries that accumulate.
+const MAX_RETRIES: f64 = 100.0;
 
-/// Allows retries in proportion to first attempts.
+/// Permits retries in proportion to first attempts.
 ///
 /// # Examples
 ///
@@ -24,32 +24,32 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     ratio: f64,
-    saved: f64,
+    available: f64,
 }
 
 impl RetryBudget {
-    /// Allows `ratio` retries for each first attempt.
+    /// Creates a budget of `ratio` retries per first attempt.
     #[must_use]
     pub fn new(ratio: f64) -> Self {
         Self {
             ratio,
-            saved: SMALLEST,
+            available: INITIAL_RETRIES,
         }
     }
 
-    /// A request was handed over for the first time.
+    /// Records the first attempt of a request.
     pub fn first_attempt(&mut self) {
-        self.saved = (self.saved + self.ratio).min(LARGEST);
+        self.available = (self.available + self.ratio).min(MAX_RETRIES);
     }
 
-    /// Takes one retry from the budget, if there is one.
+    /// Takes one retry from the budget. Returns whether one was available.
     pub fn try_retry(&mut self) -> bool {
-        // A tenth added ten times is a little less than one.
-        const ROUNDING: f64 = 1e-9;
-        if self.saved + ROUNDING < 1.0 {
+        // Ten additions of 0.1 give slightly less than 1.0.
+        const TOLERANCE: f64 = 1e-9;
+        if self.available + TOLERANCE < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.available -= 1.0;
         true
     }
 }
--- a/trouttrack_core/src/request/cursor.rs
+++ b/trouttrack_core/src/request/cursor.rs
@@ -1,50 +1,50 @@
-//! Checks that tokens come once, in order, from one generation.
+//! Checks that the tokens of a stream arrive once, in order and from one generation.
 
 use crate::{Generation, StreamId, TokenIndex};
 use thiserror::Error;
 
-/// One token as an engine sent it.
+/// A token frame as received from an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token<'a> {
-    /// The stream that the engine says it belongs to.
+    /// Stream id given by the engine.
     pub stream: &'a str,
-    /// The generation that the engine says it comes from.
+    /// Generation given by the engine.
     pub generation: Generation,
-    /// Its place in the generation.
+    /// Index of the token within the generation.
     pub index: TokenIndex,
 }
 
-/// Why a frame is not passed on.
+/// Reason why a frame is rejected.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum FrameError {
-    /// The frame answers another request.
-    #[error("frame of stream `{got}` on the connection of stream `{expected}`")]
+    /// The frame belongs to another stream.
+    #[error("received a frame of stream `{got}` on the connection of stream `{expected}`")]
     Crossed {
-        /// The stream of this request.
+        /// Stream of this request.
         expected: StreamId,
-        /// The stream that the frame names.
+        /// Stream named by the frame.
         got: StreamId,
     },
-    /// The frame comes from another generation.
-    #[error("frame of generation {got}, expected {expected}")]
+    /// The frame belongs to another generation.
+    #[error("received a frame of generation {got}, expected generation {expected}")]
     OtherGeneration {
-        /// The generation whose tokens were taken so far.
+        /// Generation of the tokens accepted so far.
         expected: Generation,
-        /// The generation that the frame names.
+        /// Generation named by the frame.
         got: Generation,
     },
-    /// One or more tokens are missing before this one.
-    #[error("token {got} arrived while {expected} was due")]
+    /// One or more preceding tokens are missing.
+    #[error("received token {got}, expected token {expected}")]
     Gap {
-        /// The next index due.
+        /// Next expected index.
         expected: TokenIndex,
-        /// The index that arrived.
+        /// Index received.
         got: TokenIndex,
     },
 }
 
-/// Follows one stream of tokens.
+/// Position in a stream of tokens.
 ///
 /// # Examples
 ///
@@ -64,7 +64,7 @@
 }
 
 impl Cursor {
-    /// Starts at the first token of a stream.
+    /// Creates a cursor at the first token of a stream.
     #[must_use]
     pub fn new(stream: StreamId) -> Self {
         Self {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Starts in the middle of a generation, for a caller that comes back.
+    /// Creates a cursor in the middle of a generation, for a caller that reconnects.
     #[must_use]
     pub fn resumed(stream: StreamId, generation: Generation, next: TokenIndex) -> Self {
         Self {
@@ -84,12 +84,12 @@
         }
     }
 
-    /// Says whether a token is new (`true`) or a duplicate to be dropped (`false`).
+    /// Returns `true` for a new token and `false` for a duplicate, which is to be dropped.
     ///
     /// # Errors
     ///
-    /// A frame of another stream or generation, or one that leaves a gap; none
-    /// of these may be passed on.
+    /// Fails for a frame of another stream or generation and for one that leaves a gap.
+    /// Such a frame must not be passed on.
     pub fn accept(&mut self, token: Token<'_>) -> Result<bool, FrameError> {
         self.check(token.stream, token.generation)?;
         if token.index < self.next {
@@ -106,11 +106,11 @@
         Ok(true)
     }
 
-    /// Checks the frame that ends a stream: it must follow the last token.
+    /// Checks the final frame of a stream, which must directly follow the last token.
     ///
     /// # Errors
     ///
-    /// As for [`accept`](Self::accept).
+    /// See [`accept`](Self::accept).
     pub fn finish(
         &mut self,
         stream: &str,
@@ -143,19 +143,19 @@
         }
     }
 
-    /// The stream followed.
+    /// Id of the stream.
     #[must_use]
     pub fn stream(&self) -> &str {
         &self.stream
     }
 
-    /// The index of the next token due, which is the count of tokens taken.
+    /// Next expected index, which equals the number of accepted tokens.
     #[must_use]
     pub fn next(&self) -> TokenIndex {
         self.next
     }
 
-    /// The generation, once a token has been taken.
+    /// The generation, once a token has been accepted.
     #[must_use]
     pub fn generation(&self) -> Option<Generation> {
         self.generation
--- a/trouttrack_core/src/request/machine.rs
+++ b/trouttrack_core/src/request/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine of one request.
+//! State machine of a request.
 
 use super::rule::{Delivery, Failure, NOTHING_RAN, Phase, Step, Traits, rule_for};
 use crate::Outcome;
@@ -7,16 +7,16 @@
 /// What to do next after a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StepResult {
-    /// Try this step; report back with one of the `Machine` methods.
+    /// Try this step and report the result with one of the [`Machine`] methods.
     Try(Step),
     /// The request has ended.
     Ended(Outcome),
 }
 
-/// One request's way from received to ended.
+/// State of one request from arrival to its outcome.
 ///
-/// The machine holds no connection and no clock. Its owner reports what
-/// happened and carries out the [`Step`]s that come back.
+/// The machine holds no connection and no clock. Its owner reports events and carries out
+/// the returned [`Step`]s.
 ///
 /// # Examples
 ///
@@ -26,7 +26,8 @@
 /// let traits = Traits { repeatable: false, resumable: false, delivery: Delivery::Stream };
 /// let mut machine = Machine::new(traits, 3);
 /// machine.handed_over();
-/// // A plain service went silent: its fate is unknown and it is not run again.
+/// // The upstream of a non-repeatable request was lost: the request may have run, so it is
+/// // not repeated.
 /// assert_eq!(machine.failed(Failure::Lost), StepResult::Ended(Outcome::Unknown));
 /// ```
 #[derive(Clone, Debug)]
@@ -36,11 +37,11 @@
     attempts_left: u32,
     steps: &'static [Step],
     ran: bool,
-    ended: Option<Outcome>,
+    outcome: Option<Outcome>,
 }
 
 impl Machine {
-    /// A request that was received; `attempts` bounds its hand-overs.
+    /// Creates the machine of a received request, which is sent at most `attempts` times.
     #[must_use]
     pub fn new(traits: Traits, attempts: u32) -> Self {
         Self {
@@ -49,35 +50,35 @@
             attempts_left: attempts,
             steps: &[],
             ran: false,
-            ended: None,
+            outcome: None,
         }
     }
 
-    /// The traits given at the start.
+    /// Traits of the request.
     #[must_use]
     pub fn traits(&self) -> Traits {
         self.traits
     }
 
-    /// Where the request stands.
+    /// Current phase.
     #[must_use]
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// The outcome, once ended.
+    /// The outcome, once the request has ended.
     #[must_use]
     pub fn outcome(&self) -> Option<Outcome> {
-        self.ended
+        self.outcome
     }
 
-    /// The request is about to be sent to an upstream.
+    /// Records that the request is about to be sent to an upstream.
     pub fn handed_over(&mut self) {
         self.phase = Phase::HandedOver;
         self.attempts_left = self.attempts_left.saturating_sub(1);
     }
 
-    /// A token that the [`Cursor`](super::Cursor) accepted has arrived.
+    /// Records a token that the [`Cursor`](super::Cursor) has accepted.
     pub fn token(&mut self) {
         self.ran = true;
         self.phase = match self.traits.delivery {
@@ -86,34 +87,34 @@
         };
     }
 
-    /// The attempt failed. Returns the first step to try.
+    /// Records that the attempt failed. Returns the first step to try.
     pub fn failed(&mut self, failure: Failure) -> StepResult {
         self.steps = rule_for(self.phase, failure, self.traits).steps;
         self.next_step()
     }
 
-    /// The step given last did not help. Returns the next one.
+    /// Records that the last step failed. Returns the next one.
     pub fn step_failed(&mut self) -> StepResult {
         self.next_step()
     }
 
-    /// The fence showed that the stream id never ran, and never will.
+    /// Records that the stream id is fenced: it never ran and never will.
     pub fn fenced(&mut self) -> StepResult {
-        self.elsewhere()
+        self.place_again()
     }
 
-    /// The whole answer was taken.
+    /// Records that the complete answer has been received.
     pub fn complete(&mut self) -> Outcome {
         self.end(Outcome::Complete)
     }
 
-    /// The upstream said that the request is wrong and that it did not run it.
+    /// Records that the upstream rejected the request as invalid without running it.
     pub fn rejected(&mut self) -> Outcome {
         self.end(NOTHING_RAN)
     }
 
-    /// The request is given up before it could be placed (deadline, overload,
-    /// no upstream, caller gone).
+    /// Ends a request that is not placed (again): deadline, overload, no upstream, or caller
+    /// disconnected.
     pub fn give_up(&mut self) -> Outcome {
         let outcome = match self.phase {
             Phase::Queued if !self.ran => NOTHING_RAN,
@@ -129,7 +130,7 @@
         };
         self.steps = rest;
         match step {
-            Step::Elsewhere => self.elsewhere(),
+            Step::Elsewhere => self.place_again(),
             Step::Resume | Step::FenceThenElsewhere if !self.traits.resumable => self.next_step(),
             Step::RunAgain => self.run_again(),
             Step::End(outcome) => StepResult::Ended(self.end(outcome)),
@@ -137,7 +138,7 @@
         }
     }
 
-    fn elsewhere(&mut self) -> StepResult {
+    fn place_again(&mut self) -> StepResult {
         self.phase = Phase::Queued;
         if self.attempts_left == 0 {
             return StepResult::Ended(self.give_up());
@@ -155,7 +156,7 @@
     }
 
     fn end(&mut self, outcome: Outcome) -> Outcome {
-        assert_ended_once(self.ended, outcome);
-        *self.ended.get_or_insert(outcome)
+        assert_ended_once(self.outcome, outcome);
+        *self.outcome.get_or_insert(outcome)
     }
 }
--- a/trouttrack_core/src/request/mod.rs
+++ b/trouttrack_core/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! The life of one request: its phases, its retry rule, its token cursor.
+//! Lifecycle of a request: phases, retry rules, retry budgets and token cursor.
 
 mod budget;
 mod cursor;
--- a/trouttrack_core/src/request/rule.rs
+++ b/trouttrack_core/src/request/rule.rs
@@ -1,71 +1,71 @@
-//! The retry rule, as a table.
+//! Table of retry rules.
 //!
-//! A failure is answered by reading [`RULES`] and nothing else: the phase the
-//! request was in, how it failed, and whether it may be repeated give the
-//! ordered list of [`Step`]s to try.
+//! [`RULES`] alone decides how a failure is handled: the phase of the request, the kind of
+//! failure and whether the request may be repeated determine the ordered list of [`Step`]s
+//! to try.
 
 use crate::Outcome;
 use serde::{Deserialize, Serialize};
 
-/// When tokens are passed to the caller.
+/// When tokens are delivered to the caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Delivery {
-    /// Each token as it arrives.
+    /// Token by token, on arrival.
     #[default]
     Stream,
-    /// All tokens at once, after the generation has ended.
+    /// All at once, after the generation has ended.
     Whole,
 }
 
-/// Where a request stands, as far as the retry rule cares.
+/// Progress of a request, as far as it matters for retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// No upstream has been given the request.
+    /// The request has not been sent to any upstream.
     Queued,
-    /// The request was sent and no token has arrived.
+    /// The request was sent; no token has arrived.
     HandedOver,
-    /// Tokens have arrived and are held back (`delivery = whole`).
+    /// Tokens have arrived and are buffered (`delivery = whole`).
     Held,
-    /// Tokens have been passed to the caller.
+    /// Tokens have been delivered to the caller.
     Delivered,
 }
 
 impl Phase {
-    /// Every phase.
+    /// All phases.
     pub const ALL: [Self; 4] = [Self::Queued, Self::HandedOver, Self::Held, Self::Delivered];
 }
 
-/// How an attempt at an upstream failed.
+/// Failure of an attempt at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Failure {
-    /// No connection could be made, so nothing was sent.
+    /// No connection was established, so nothing was sent.
     NotConnected,
-    /// The upstream positively refused before running.
+    /// The upstream explicitly refused the request before running it.
     Refused,
-    /// Silence, a reset, or an answer that is not to this request.
+    /// Timeout, connection reset, or an answer to another request.
     Lost,
-    /// The upstream positively ended the generation early.
+    /// The upstream explicitly ended the generation early.
     Aborted,
 }
 
 impl Failure {
-    /// Every kind of failure.
+    /// All failures.
     pub const ALL: [Self; 4] = [Self::NotConnected, Self::Refused, Self::Lost, Self::Aborted];
 }
 
-/// What the configuration says of a service's requests.
+/// Configured properties of a service's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Traits {
     /// Whether the request may be run more than once.
     pub repeatable: bool,
     /// Whether the upstream can attach to, resume and fence a stream by its id.
     pub resumable: bool,
-    /// When tokens are passed on.
+    /// When tokens are delivered.
     pub delivery: Delivery,
 }
 
-/// The two properties that a [`Rule`] matches on.
+/// Repeatability that a [`Rule`] matches on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Kind {
     /// Matches every request.
@@ -77,7 +77,7 @@
 }
 
 impl Kind {
-    /// Whether a request with these traits is of this kind.
+    /// Whether a request with the given traits matches.
     #[must_use]
     pub fn matches(self, traits: Traits) -> bool {
         match self {
@@ -88,20 +88,20 @@
     }
 }
 
-/// One thing to try after a failure.
+/// Recovery step after a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// Place the request again; nothing has run.
+    /// Place the request on another upstream; nothing has run.
     Elsewhere,
-    /// Attach by stream id from the first token not yet passed on.
+    /// Reattach to the stream by its id, from the first token not yet passed on.
     ///
     /// Skipped when the upstream is not resumable.
     Resume,
-    /// Drop what is held, cancel the stream as well as can be, and place the
-    /// request again. Only for repeatable requests.
+    /// Discard buffered tokens, make a best-effort attempt to cancel the stream, and place
+    /// the request again. Only for repeatable requests.
     RunAgain,
-    /// Fence the stream id; go elsewhere only if the same incarnation of the
-    /// upstream says that the id never ran.
+    /// Fence the stream id, and place the request on another upstream only if the same
+    /// incarnation of the upstream confirms that the id never ran.
     ///
     /// Skipped when the upstream is not resumable.
     FenceThenElsewhere,
@@ -109,16 +109,16 @@
     End(Outcome),
 }
 
-/// One row of the retry rule.
+/// A row of the table of retry rules.
 #[derive(Clone, Copy, Debug)]
 pub struct Rule {
-    /// The phase the request was in.
+    /// Phase of the request.
     pub phase: Phase,
-    /// The failures that the row answers.
+    /// Failures that the row applies to.
     pub failures: &'static [Failure],
-    /// The requests that the row is for.
+    /// Requests that the row applies to.
     pub kind: Kind,
-    /// What to try, in order; the last step always ends or replaces the attempt.
+    /// Steps to try, in order. The last one always ends the request or starts a new attempt.
     pub steps: &'static [Step],
 }
 
@@ -141,35 +141,34 @@
     }
 }
 
-/// The retry rule. The first row that matches applies.
+/// The retry rules. The first matching row applies.
 ///
-/// `Elsewhere` with no upstream or budget left ends as `not-run`; the
-/// [`Machine`](super::Machine) sees to that, because nothing has run.
+/// If no upstream or budget is left for `Elsewhere`, the
+/// [`Machine`](super::Machine) ends the request as `not-run`, because nothing has run.
 #[rustfmt::skip]
 pub const RULES: &[Rule] = &[
-    // Nothing was sent, or the upstream said that it did not run it.
+    // Nothing was sent, or the upstream confirmed that it did not run the request.
     row(Queued,     &[NotConnected, Refused, Lost, Aborted], Kind::Any,           &[Elsewhere]),
     row(HandedOver, &[NotConnected, Refused],                Kind::Any,           &[Elsewhere]),
-    // Sent, no token yet.
+    // Sent, no token received.
     row(HandedOver, &[Lost],                                 Kind::Repeatable,    &[Resume, RunAgain]),
     row(HandedOver, &[Lost],                                 Kind::NotRepeatable, &[Resume, FenceThenElsewhere, End(Unknown)]),
     row(HandedOver, &[Aborted],                              Kind::Repeatable,    &[RunAgain]),
     row(HandedOver, &[Aborted],                              Kind::NotRepeatable, &[End(Unknown)]),
-    // Tokens arrived, none passed on.
+    // Tokens received, none delivered.
     row(Held,       &[Lost],                                 Kind::Repeatable,    &[Resume, RunAgain]),
     row(Held,       &[Lost],                                 Kind::NotRepeatable, &[Resume, End(Unknown)]),
     row(Held,       &[Aborted, NotConnected, Refused],       Kind::Repeatable,    &[RunAgain]),
     row(Held,       &[Aborted, NotConnected, Refused],       Kind::NotRepeatable, &[End(Unknown)]),
-    // The caller has a first part of one generation: only that generation may go on.
+    // The caller has the first tokens of a generation: only that generation may continue.
     row(Delivered,  &[Lost],                                 Kind::Any,           &[Resume, End(Interrupted)]),
     row(Delivered,  &[Aborted, NotConnected, Refused],       Kind::Any,           &[End(Interrupted)]),
 ];
 
-/// What a request that may not be placed again is told, in phases where
-/// nothing has run.
+/// Outcome of a request that is not placed again, in phases in which nothing has run.
 pub(crate) const NOTHING_RAN: Outcome = NotRun;
 
-/// Finds the row for a failure.
+/// Returns the rule for a failure.
 ///
 /// # Examples
 ///
@@ -184,5 +183,5 @@
     RULES
         .iter()
         .find(|r| r.phase == phase && r.failures.contains(&failure) && r.kind.matches(traits))
-        .expect("the table has a row for every phase, failure and kind; a test checks it")
+        .expect("RULES covers every phase, failure and kind")
 }
--- a/trouttrack_core/src/request/shared_budget.rs
+++ b/trouttrack_core/src/request/shared_budget.rs
@@ -1,46 +1,46 @@
-//! A retry budget that holds for a whole fleet without talk between its VMs.
+//! Fleet-wide retry budget that needs no communication between VMs.
 //!
-//! The fleet may make `ratio` retries for each request in a sliding window and
-//! `extra` besides. Each VM spends the ratio on its own requests and an equal
-//! part of the extra, so the sum stays within the bound whatever the others do
-//! and whether or not they can see each other. What a VM has spent before it started
-//! again it does not know, so in its first window it spends of the extra only what the lives
-//! before left.
+//! In a sliding window the fleet may make `ratio` retries per request plus `extra` retries.
+//! Each VM applies the ratio to its own requests and takes an equal part of the extra, so
+//! the total stays within the bound regardless of the other VMs and of network partitions.
+//! After a restart a VM does not know what it has spent before. In its first window it
+//! therefore uses only that part of the extra that the previous incarnation cannot have
+//! spent.
 
 use crate::Time;
 use std::collections::VecDeque;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The part of the bound that is spent: the window of whoever counts lies
-/// elsewhere than ours, and counts a request when the caller sent it.
+/// Share of the bound that is used. The margin is needed because an observer's window is
+/// not aligned with this VM's, and counts a request at the time the caller sent it.
 const USED_SHARE: f64 = 0.8;
 
-/// The part of the above first window's share that is drawn, where a VM's part of the extra
-/// is less than one retry: what is drawn adds up to its mean give or take the root of the
-/// VMs, 32 of 1,000.
-const DRAWN_AT_FIRST: f64 = 0.5;
+/// Share of the first window's allowance that is used where a VM's part of the extra is
+/// less than one retry. The margin covers the deviation of the sum over all VMs from its
+/// mean, which is about the square root of their number: 32 for 1,000 VMs.
+const FIRST_WINDOW_DRAW_SHARE: f64 = 0.5;
 
-/// Times of events in a sliding window.
+/// Event times in a sliding window.
 #[derive(Clone, Debug, Default)]
 struct Window {
-    at: VecDeque<Time>,
+    times: VecDeque<Time>,
 }
 
 impl Window {
     fn add(&mut self, now: Time) {
-        self.at.push_back(now);
+        self.times.push_back(now);
     }
 
     fn count(&mut self, now: Time, length: Duration) -> usize {
-        while self.at.front().is_some_and(|&t| t + length < now) {
-            self.at.pop_front();
+        while self.times.front().is_some_and(|&t| t + length < now) {
+            self.times.pop_front();
         }
-        self.at.len()
+        self.times.len()
     }
 }
 
-/// One VM's part of a fleet's retry budget for one service.
+/// One VM's part of the fleet's retry budget for one service.
 ///
 /// # Examples
 ///
@@ -49,11 +49,11 @@
 /// use trouttrack_core::request::SharedBudget;
 /// let mut budget = SharedBudget::new(0.2, 20.0, Duration::from_secs(10));
 /// let now = Duration::from_secs(10);
-/// // Eight VMs share 20 extra retries, of which 80 in 100 are used.
+/// // Eight VMs share 20 extra retries, of which 80 % are used.
 /// assert!(budget.try_retry(now, 8));
 /// assert!(budget.try_retry(now, 8));
 /// assert!(!budget.try_retry(now, 8));
-/// // A VM that has just started may have spent its part in the life before.
+/// // The previous incarnation of a VM that has just started may have spent its part.
 /// let mut budget = SharedBudget::new(0.2, 20.0, Duration::from_secs(10));
 /// assert!(!budget.try_retry(Duration::from_secs(1), 8));
 /// ```
@@ -62,58 +62,59 @@
     ratio: f64,
     extra: f64,
     window: Duration,
-    first: Window,
+    first_attempts: Window,
     retries: Window,
-    draws: Draws,
+    draw: RandomDraw,
 }
 
-/// What a VM draws whose part of the budget is less than one retry: so many VMs may make
-/// one that the parts add up. Without it none of 985 VMs that share 1,040 could make any.
+/// Randomized rounding for VMs whose part of the budget is less than one retry: a VM may
+/// make a retry with the probability that keeps the expected total. Without it none of
+/// 985 VMs that share 1,040 retries could make any.
 #[derive(Clone, Copy, Debug, Default)]
-struct Draws {
+struct RandomDraw {
     seed: u64,
     count: u64,
-    /// When the last one was made.
-    at: Option<Time>,
-    drawn: f64,
+    /// Time of the last draw.
+    drawn_at: Option<Time>,
+    value: f64,
 }
 
-impl Draws {
-    /// A number from 0 to 1 that stays the same for a window.
+impl RandomDraw {
+    /// A random number between 0 and 1 that is kept for a window.
     fn get(&mut self, now: Time, window: Duration) -> f64 {
-        if self.at.is_none_or(|at| now > at + window) {
+        if self.drawn_at.is_none_or(|at| now > at + window) {
             self.count += 1;
-            self.at = Some(now);
-            let drawn = xxh3_64_with_seed(&self.count.to_le_bytes(), self.seed);
-            self.drawn = drawn as f64 / u64::MAX as f64;
+            self.drawn_at = Some(now);
+            let value = xxh3_64_with_seed(&self.count.to_le_bytes(), self.seed);
+            self.value = value as f64 / u64::MAX as f64;
         }
-        self.drawn
+        self.value
     }
 }
 
 impl SharedBudget {
-    /// A budget with nothing spent.
+    /// Creates an unspent budget.
     #[must_use]
     pub fn new(ratio: f64, extra: f64, window: Duration) -> Self {
         Self {
             ratio,
             extra,
             window,
-            first: Window::default(),
+            first_attempts: Window::default(),
             retries: Window::default(),
-            draws: Draws::default(),
+            draw: RandomDraw::default(),
         }
     }
 
-    /// The same with a seed, which differs from VM to VM: where many VMs share little, it
-    /// draws which of them may make a retry.
+    /// Sets the seed of the randomized rounding, which must differ between VMs. It decides
+    /// which VMs may make a retry if there are fewer retries than VMs.
     ///
     /// # Examples
     ///
     /// ```
     /// use std::time::Duration;
     /// use trouttrack_core::request::SharedBudget;
-    /// // A thousand VMs share 500 extra retries, of which 80 in 100 are used.
+    /// // 1,000 VMs share 500 extra retries, of which 80 % are used.
     /// let now = Duration::from_secs(10);
     /// let budget = |seed| SharedBudget::new(0.2, 500.0, now).seeded(seed);
     /// let made = (0..1000).filter(|vm| budget(*vm).try_retry(now, 1000)).count();
@@ -121,25 +122,25 @@
     /// ```
     #[must_use]
     pub fn seeded(mut self, seed: u64) -> Self {
-        self.draws.seed = seed;
+        self.draw.seed = seed;
         self
     }
 
-    /// A request was sent for the first time.
+    /// Records the first attempt of a request.
     pub fn first_attempt(&mut self, now: Time) {
-        self.first.count(now, self.window);
-        self.first.add(now);
+        self.first_attempts.count(now, self.window);
+        self.first_attempts.add(now);
     }
 
     /// Takes one retry if the budget, shared by `vms` VMs, has one left. `now` is the time
-    /// since this VM started.
+    /// since the start of this VM.
     pub fn try_retry(&mut self, now: Time, vms: usize) -> bool {
-        let first = self.first.count(now, self.window) as f64;
+        let first = self.first_attempts.count(now, self.window) as f64;
         let retries = self.retries.count(now, self.window) as f64;
-        let part = self.extra / vms.max(1) as f64;
-        let mut allowed = self.ratio * first * USED_SHARE + part * self.share_of_extra(now);
-        if part * USED_SHARE < 1.0 {
-            allowed = self.whole(now, allowed);
+        let vm_share = self.extra / vms.max(1) as f64;
+        let mut allowed = self.ratio * first * USED_SHARE + vm_share * self.extra_share(now);
+        if vm_share * USED_SHARE < 1.0 {
+            allowed = self.round_randomly(now, allowed);
         }
         if retries + 1.0 > allowed {
             return false;
@@ -148,20 +149,21 @@
         true
     }
 
-    /// A whole number of retries that is `allowed` in the mean over all VMs.
-    fn whole(&mut self, now: Time, allowed: f64) -> f64 {
+    /// Rounds to a whole number of retries whose mean over all VMs is `allowed`; in the first
+    /// window the mean is reduced by [`FIRST_WINDOW_DRAW_SHARE`].
+    fn round_randomly(&mut self, now: Time, allowed: f64) -> f64 {
         let allowed = match now < self.window {
-            true => allowed * DRAWN_AT_FIRST,
+            true => allowed * FIRST_WINDOW_DRAW_SHARE,
             false => allowed,
         };
-        let more = self.draws.get(now, self.window) < allowed.fract();
+        let more = self.draw.get(now, self.window) < allowed.fract();
         allowed.floor() + f64::from(u8::from(more))
     }
 
-    /// In its first window a VM takes all to be spent that the life before could spend.
-    /// Without this, seven VMs that were killed in a storm of retries made 84 in a window
-    /// that bounds them to 54.
-    fn share_of_extra(&self, now: Time) -> f64 {
+    /// Share of the extra that may be used. In its first window a VM assumes that the
+    /// previous incarnation has spent all that it could. Without this, seven VMs killed
+    /// during a retry storm made 84 retries in a window with a bound of 54.
+    fn extra_share(&self, now: Time) -> f64 {
         match now < self.window {
             true => 1.0 - USED_SHARE,
             false => USED_SHARE,
--- a/trouttrack_core/src/world/mod.rs
+++ b/trouttrack_core/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! The tables of one gateway and the systems that run over them each tick.
+//! Scheduling state of one gateway and the passes that run over it on each tick.
 
 mod peers;
 mod queue;
--- a/trouttrack_core/src/world/peers.rs
+++ b/trouttrack_core/src/world/peers.rs
@@ -1,11 +1,11 @@
-//! What peers say of their use of upstreams.
+//! Upstream use reported by peers in heartbeats.
 //!
-//! A peer's word visits the rows that it names, and those that it named the last time;
-//! no others.
+//! A heartbeat touches only the rows that it names and those that the peer's previous
+//! heartbeat named.
 //!
-//! In a large fleet a VM hears each peer of its own failure domain, and of another
-//! failure domain the sum over its VMs: what a choice among the upstreams there needs,
-//! at a cost that does not grow with the VMs.
+//! In a large fleet a VM receives heartbeats from each peer of its own failure domain, and
+//! for every other failure domain the total over its VMs. That suffices to choose among
+//! the upstreams there, at a cost that does not grow with the number of VMs.
 
 use super::tables::World;
 use crate::Time;
@@ -15,53 +15,54 @@
 };
 use std::collections::HashMap;
 
-/// A peer that has been silent for this long is not counted any more.
-const SILENCE: Time = Time::from_secs(5);
-/// How often silent peers are looked for: each heartbeat would be too often.
-const SWEEP_EVERY: Time = Time::from_secs(1);
+/// Time without a heartbeat after which a peer's use is no longer counted.
+const PEER_TIMEOUT: Time = Time::from_secs(5);
+/// Interval of the check for silent peers, which would cost too much on every heartbeat.
+const SWEEP_INTERVAL: Time = Time::from_secs(1);
 
-/// When each peer was heard, and the rows that count its use.
+/// The latest heartbeat of each peer.
 #[derive(Debug, Default)]
-pub(crate) struct PeersHeard {
-    by_teller: HashMap<Teller, PeerHeard>,
-    /// When the silent were looked for.
+pub(crate) struct PeerHeartbeats {
+    by_teller: HashMap<Teller, PeerHeartbeat>,
+    /// Time of the last check for silent peers.
     swept_at: Time,
 }
 
-/// A peer's last heartbeat.
+/// A peer's latest heartbeat.
 #[derive(Debug)]
-struct PeerHeard {
-    /// When it came.
+struct PeerHeartbeat {
+    /// Time of arrival.
     at: Time,
-    /// The rows that it named.
+    /// Rows in which its use is counted.
     rows: Vec<UpstreamKey>,
 }
 
-impl PeersHeard {
-    /// Takes the silent peers out of the rows that count them, once in a while.
-    fn forget_silent(&mut self, now: Time, upstreams: &mut UpstreamTable) {
-        if now.saturating_sub(self.swept_at) < SWEEP_EVERY {
+impl PeerHeartbeats {
+    /// Removes the use of silent peers from the upstream rows, at most once per
+    /// [`SWEEP_INTERVAL`].
+    fn expire_silent_peers(&mut self, now: Time, upstreams: &mut UpstreamTable) {
+        if now.saturating_sub(self.swept_at) < SWEEP_INTERVAL {
             return;
         }
         self.swept_at = now;
-        self.by_teller.retain(|teller, heard| {
-            let silent = now.saturating_sub(heard.at) > SILENCE;
+        self.by_teller.retain(|teller, heartbeat| {
+            let silent = now.saturating_sub(heartbeat.at) > PEER_TIMEOUT;
             if silent {
-                forget(upstreams, &heard.rows, teller);
+                remove_uses(upstreams, &heartbeat.rows, teller);
             }
             !silent
         });
     }
 
-    /// Whether the sum over a failure domain was told lately.
-    fn knows_sum(&self, failure_domain: &str) -> bool {
+    /// Whether the total of a failure domain has been received recently.
+    fn has_domain_total(&self, failure_domain: &str) -> bool {
         let teller = Teller::FailureDomain(failure_domain.to_owned());
         self.by_teller.contains_key(&teller)
     }
 }
 
-/// Takes a peer's use out of these rows.
-fn forget(upstreams: &mut UpstreamTable, rows: &[UpstreamKey], teller: &Teller) {
+/// Removes a peer's use from the given rows.
+fn remove_uses(upstreams: &mut UpstreamTable, rows: &[UpstreamKey], teller: &Teller) {
     for key in rows {
         if let Some(u) = upstreams.get_mut(*key) {
             u.forget_peer(teller);
@@ -70,26 +71,26 @@
 }
 
 impl World {
-    /// Takes in what a peer says of its use of upstreams. The connections that it lost
-    /// count only if it stands in the own failure domain: what is cut off from others
-    /// may be reached from here.
+    /// Records a peer's use of upstreams. Connections lost by the peer count only if it is
+    /// in this VM's failure domain: an upstream that is unreachable from another domain may
+    /// be reachable from this one.
     pub fn peer_uses(&mut self, now: Time, peer: &str, failure_domain: &str, uses: &[UpstreamUse]) {
         let near = failure_domain == self.settings.failure_domain;
-        let summed = !near && self.peers.knows_sum(failure_domain);
-        let counts = |u: &Upstream| !summed || u.spec.failure_domain != failure_domain;
-        self.take_uses(now, Teller::Vm(peer.to_owned()), uses, near, counts);
+        let has_total = !near && self.peers.has_domain_total(failure_domain);
+        let counts = |u: &Upstream| !has_total || u.spec.failure_domain != failure_domain;
+        self.replace_uses(now, Teller::Vm(peer.to_owned()), uses, near, counts);
     }
 
-    /// Takes in what the VMs of another failure domain together use of its upstreams.
-    /// What they use elsewhere each of them tells where those stand.
+    /// Records the total use that the VMs of another failure domain make of its upstreams.
+    /// Their use of upstreams in other domains is reported by each VM to those domains.
     pub fn domain_uses_told(&mut self, now: Time, failure_domain: &str, uses: &[UpstreamUse]) {
         let teller = Teller::FailureDomain(failure_domain.to_owned());
-        let there = |u: &Upstream| u.spec.failure_domain == failure_domain;
-        self.take_uses(now, teller, uses, false, there);
+        let in_domain = |u: &Upstream| u.spec.failure_domain == failure_domain;
+        self.replace_uses(now, teller, uses, false, in_domain);
     }
 
-    /// What the VMs of the own failure domain together use of its upstreams, for the
-    /// VMs of others.
+    /// Total use that the VMs of this failure domain make of its upstreams, as sent to the
+    /// VMs of other domains.
     #[must_use]
     pub fn domain_uses(&self, now: Time) -> Vec<UpstreamUse> {
         let home = &self.settings.failure_domain;
@@ -100,8 +101,8 @@
             .collect()
     }
 
-    /// Puts a teller's word in the rows for which it counts, in place of its last one.
-    fn take_uses(
+    /// Replaces the use last reported by a source, in the rows for which it counts.
+    fn replace_uses(
         &mut self,
         now: Time,
         teller: Teller,
@@ -110,9 +111,9 @@
         counts: impl Fn(&Upstream) -> bool,
     ) {
         self.upstreams.hear_peers();
-        self.peers.forget_silent(now, &mut self.upstreams);
+        self.peers.expire_silent_peers(now, &mut self.upstreams);
         if let Some(before) = self.peers.by_teller.get(&teller) {
-            forget(&mut self.upstreams, &before.rows, &teller);
+            remove_uses(&mut self.upstreams, &before.rows, &teller);
         }
         let mut rows = Vec::with_capacity(uses.len());
         for used in uses {
@@ -123,15 +124,15 @@
                 continue;
             };
             rows.push(key);
-            u.handovers.told(now, &teller, told_handovers(used));
+            u.handovers.told(now, &teller, handover_counts(used));
             u.take_peer(peer_use(now, &teller, used, near));
         }
-        let heard = PeerHeard { at: now, rows };
-        self.peers.by_teller.insert(teller, heard);
+        let heartbeat = PeerHeartbeat { at: now, rows };
+        self.peers.by_teller.insert(teller, heartbeat);
     }
 }
 
-fn told_handovers(used: &UpstreamUse) -> ToldHandovers {
+fn handover_counts(used: &UpstreamUse) -> ToldHandovers {
     ToldHandovers {
         all: used.handovers,
         recent: used.recent_handovers,
--- a/trouttrack_core/src/world/queue.rs
+++ b/trouttrack_core/src/world/queue.rs
@@ -1,26 +1,27 @@
-//! Waiting requests: classes with ageing, weighted fair share inside a class.
+//! Priority queue of waiting requests: ageing between priority classes, weighted fair
+//! queueing between organisations within a class.
 
 use super::tables::RequestKey;
 use crate::{OrganisationId, Time};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Scale of the virtual finish tags, so that they order as integers.
+/// Fixed-point scale of virtual finish tags, which are compared as integers.
 const TAG_SCALE: f64 = 1024.0;
 
-/// Where a request stands in the queue.
+/// Keys under which a waiting request is indexed in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Place {
+pub(crate) struct QueuePosition {
     class: u8,
     tag: u64,
-    since: Time,
+    queued_at: Time,
     key: RequestKey,
 }
 
-/// When a class is to be served; the smallest comes first.
+/// Sort key of a class: overdue classes first, then by due time.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Turn {
-    in_time: bool,
+struct ServiceOrder {
+    within_max_wait: bool,
     due: Time,
     class: u8,
 }
@@ -29,17 +30,17 @@
 struct Class {
     by_tag: BTreeSet<(u64, RequestKey)>,
     by_age: BTreeSet<(Time, RequestKey)>,
-    /// Virtual time: the tag of the last request taken.
+    /// Largest finish tag dequeued so far.
     virtual_time: u64,
 }
 
-/// Classes of waiting requests.
+/// Queue of waiting requests, grouped by priority class.
 ///
-/// A request that has waited for `max_wait` goes before all classes and
-/// shares, the oldest first: that bounds every wait, even if the most urgent
-/// class alone is more than can be served. Before that, the class whose oldest
-/// request has the smallest `since + class × ageing` is served first, and
-/// inside a class the smallest finish tag.
+/// Requests that have waited for `max_wait` are served before all others, oldest
+/// first. This bounds every wait even if the most urgent class alone exceeds the
+/// capacity. Otherwise the class whose oldest request has the smallest
+/// `queued_at + class × ageing` is served first, and within a class the request
+/// with the smallest finish tag.
 ///
 /// # Examples
 ///
@@ -59,7 +60,8 @@
 }
 
 impl FairQueue {
-    /// An empty queue; `ageing` is how much longer each class down may wait.
+    /// Creates an empty queue. `ageing` is the additional wait allowed per class below
+    /// class 0.
     #[must_use]
     pub fn new(ageing: Duration, max_wait: Duration) -> Self {
         Self {
@@ -71,13 +73,13 @@
         }
     }
 
-    /// How many wait.
+    /// Number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none waits.
+    /// Whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
@@ -89,8 +91,8 @@
         class: u8,
         organisation: &str,
         cost_per_weight: f64,
-        since: Time,
-    ) -> Place {
+        queued_at: Time,
+    ) -> QueuePosition {
         let entry = self.classes.entry(class).or_default();
         let last = self
             .last_tag
@@ -100,79 +102,79 @@
         let tag = start + (cost_per_weight * TAG_SCALE).max(1.0) as u64;
         *last = tag;
         entry.by_tag.insert((tag, key));
-        entry.by_age.insert((since, key));
+        entry.by_age.insert((queued_at, key));
         self.len += 1;
-        Place {
+        QueuePosition {
             class,
             tag,
-            since,
+            queued_at,
             key,
         }
     }
 
-    pub(crate) fn remove(&mut self, place: Place) {
-        let Some(class) = self.classes.get_mut(&place.class) else {
+    pub(crate) fn remove(&mut self, position: QueuePosition) {
+        let Some(class) = self.classes.get_mut(&position.class) else {
             return;
         };
-        if class.by_tag.remove(&(place.tag, place.key)) {
-            class.by_age.remove(&(place.since, place.key));
+        if class.by_tag.remove(&(position.tag, position.key)) {
+            class.by_age.remove(&(position.queued_at, position.key));
             self.len -= 1;
         }
         if self.len == 0 {
-            // Nobody waits, so no organisation is ahead of another.
+            // With an empty queue no organisation is ahead of its share.
             self.last_tag.clear();
         }
     }
 
-    /// A request was taken from the queue to be run.
-    pub(crate) fn taken(&mut self, place: Place) {
-        if let Some(class) = self.classes.get_mut(&place.class) {
-            class.virtual_time = class.virtual_time.max(place.tag);
+    /// Removes a request that has been placed and advances the virtual time of its class.
+    pub(crate) fn dequeue(&mut self, position: QueuePosition) {
+        if let Some(class) = self.classes.get_mut(&position.class) {
+            class.virtual_time = class.virtual_time.max(position.tag);
         }
-        self.remove(place);
+        self.remove(position);
     }
 
-    /// The classes in the order in which they are to be served now.
+    /// Classes in service order at `now`.
     pub(crate) fn order(&self, now: Time) -> Vec<u8> {
-        let mut order: Vec<Turn> = self
+        let mut order: Vec<ServiceOrder> = self
             .classes
             .iter()
             .filter_map(|(&class, waiting)| {
-                let (since, _) = *waiting.by_age.first()?;
-                let overdue = now.saturating_sub(since) >= self.max_wait;
+                let (queued_at, _) = *waiting.by_age.first()?;
+                let overdue = now.saturating_sub(queued_at) >= self.max_wait;
                 let due = match overdue {
-                    true => since,
-                    false => since + self.ageing * u32::from(class),
+                    true => queued_at,
+                    false => queued_at + self.ageing * u32::from(class),
                 };
-                Some(Turn {
-                    in_time: !overdue,
+                Some(ServiceOrder {
+                    within_max_wait: !overdue,
                     due,
                     class,
                 })
             })
             .collect();
         order.sort_unstable();
-        order.into_iter().map(|turn| turn.class).collect()
+        order.into_iter().map(|entry| entry.class).collect()
     }
 
-    /// The next requests of a class, at most `most`.
-    pub(crate) fn heads(&self, class: u8, now: Time, most: usize) -> Vec<RequestKey> {
+    /// Up to `limit` requests of a class in service order: overdue ones, then by finish tag.
+    pub(crate) fn heads(&self, class: u8, now: Time, limit: usize) -> Vec<RequestKey> {
         let Some(class) = self.classes.get(&class) else {
             return Vec::new();
         };
         let overdue = class
             .by_age
             .iter()
-            .take_while(|(since, _)| now.saturating_sub(*since) >= self.max_wait)
+            .take_while(|(queued_at, _)| now.saturating_sub(*queued_at) >= self.max_wait)
             .map(|&(_, key)| key);
         let fair = class.by_tag.iter().map(|&(_, key)| key);
-        let mut heads: Vec<RequestKey> = Vec::with_capacity(most);
-        for key in overdue.take(most).chain(fair.take(most)) {
+        let mut heads: Vec<RequestKey> = Vec::with_capacity(limit);
+        for key in overdue.take(limit).chain(fair.take(limit)) {
             if !heads.contains(&key) {
                 heads.push(key);
             }
         }
-        heads.truncate(most);
+        heads.truncate(limit);
         heads
     }
 }
--- a/trouttrack_core/src/world/relocate.rs
+++ b/trouttrack_core/src/world/relocate.rs
@@ -1,28 +1,29 @@
-//! Moving a running request to another upstream.
+//! Choice of the upstream to which a running request is moved.
 
 use super::tables::{RequestKey, World};
 use crate::upstream::{OwnRun, Upstream, UpstreamKey};
 use crate::{Time, UpstreamId};
 
-/// Added to a target's score when it stands in another failure domain than the
-/// source: copies there take twice as long, while others wait for the link.
-const FAR: f64 = 1.0;
-/// What each running request adds to a target's score: every one slows the
-/// tokens of the others.
-const PER_RUNNING: f64 = 0.01;
+/// Score penalty of a target outside the source's failure domain: a copy between
+/// domains takes twice as long and delays other copies on the link.
+const CROSS_DOMAIN_PENALTY: f64 = 1.0;
+/// Score penalty per request running on a target: each one lowers the token rate of
+/// the others.
+const RUNNING_PENALTY: f64 = 0.01;
 
 /// An upstream to which a running request could be moved.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// The upstream.
+    /// Id of the upstream.
     pub upstream: UpstreamId,
-    /// Forecast memory over capacity with the request there.
+    /// Forecast memory use divided by capacity, with the request included.
     pub fill: f64,
 }
 
 impl World {
-    /// The best upstream to move a running request to, by forecast memory and
-    /// distance from `home`, the failure domain where it runs.
+    /// Returns the best upstream to move a running request to, by forecast memory use,
+    /// number of running requests and failure domain. `home` is the failure domain where
+    /// the request runs.
     #[must_use]
     pub fn target(
         &self,
@@ -33,7 +34,7 @@
     ) -> Option<Target> {
         let row = self.requests.get(key)?;
         let source = row.upstream;
-        let run = self.run_of(key)?;
+        let run = self.run_or_forecast(key)?;
         let serving = self.upstreams.serving(&row.submission.service)?;
         let usable = |k: &UpstreamKey| Some(*k) != source;
         serving
@@ -43,13 +44,13 @@
             .filter_map(|k| self.upstreams.get(*k))
             .filter(|u| u.open(now) && self.bears_one_more(now, u))
             .filter(|u| !avoid.contains(&u.spec.id))
-            .filter_map(|u| scored(u, run, home, self.settings.moved_fill))
+            .filter_map(|u| score_target(u, run, home, self.settings.moved_fill))
             .min_by(|a, b| a.0.total_cmp(&b.0))
             .map(|(_, target)| target)
     }
 
-    /// What a request holds where it runs, or would hold if it were placed.
-    fn run_of(&self, key: RequestKey) -> Option<OwnRun> {
+    /// Memory use of a request on its upstream, or its forecast if it has not been placed.
+    fn run_or_forecast(&self, key: RequestKey) -> Option<OwnRun> {
         let row = self.requests.get(key)?;
         let running = row
             .upstream
@@ -58,7 +59,7 @@
         Some(running.unwrap_or_else(|| self.forecast(key, &row.submission, 0)))
     }
 
-    /// Tokens of memory that other upstreams of a failure domain have room for.
+    /// Free memory, in tokens, over all upstreams of a failure domain that accept work.
     #[must_use]
     pub fn room_near(&self, now: Time, service: &str, home: &str) -> f64 {
         let serving = self.upstreams.serving(service);
@@ -69,15 +70,15 @@
             .sum()
     }
 
-    /// Tokens of memory that a running request holds.
+    /// Memory held by a request, in tokens.
     #[must_use]
     pub fn held_tokens(&self, key: RequestKey) -> f64 {
-        self.run_of(key).map_or(0.0, |run| run.tokens)
+        self.run_or_forecast(key).map_or(0.0, |run| run.tokens)
     }
 
-    /// The request runs at another upstream from now on.
+    /// Records that a request has been moved to the upstream `to`.
     pub fn relocate(&mut self, now: Time, key: RequestKey, to: &str) {
-        let Some(run) = self.run_of(key) else {
+        let Some(run) = self.run_or_forecast(key) else {
             return;
         };
         let Some(target) = self.upstreams.key(to) else {
@@ -97,16 +98,16 @@
     }
 }
 
-fn scored(u: &Upstream, run: OwnRun, home: &str, most: f64) -> Option<(f64, Target)> {
+fn score_target(u: &Upstream, run: OwnRun, home: &str, max_fill: f64) -> Option<(f64, Target)> {
     let fill = u.fill_with(Some(run));
-    if fill > most {
+    if fill > max_fill {
         return None;
     }
-    let far = match u.spec.failure_domain == home {
+    let domain_penalty = match u.spec.failure_domain == home {
         true => 0.0,
-        false => FAR,
+        false => CROSS_DOMAIN_PENALTY,
     };
-    let score = fill + far + PER_RUNNING * u.estimated_running() as f64;
+    let score = fill + domain_penalty + RUNNING_PENALTY * u.estimated_running() as f64;
     let upstream = u.spec.id.clone();
     Some((score, Target { upstream, fill }))
 }
--- a/trouttrack_core/src/world/systems.rs
+++ b/trouttrack_core/src/world/systems.rs
@@ -1,4 +1,4 @@
-//! The systems: expire, place, refuse. Each runs over the tables once a tick.
+//! Scheduling passes: expire, place, refuse. Each runs once per tick.
 
 use super::tables::{Decision, NotRunReason, RequestKey, Submission, World};
 use crate::Time;
@@ -8,82 +8,83 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Waiting requests of a class that are tried each round, so that one that
-/// fits nowhere does not hold up the ones behind it.
-const HEADS: usize = 8;
-/// Up to this many upstreams each is looked at.
-const EXACT: usize = 16;
-/// Candidates kept in an explanation.
+/// Number of waiting requests of a class that are tried in each round, which limits
+/// head-of-line blocking by a request that fits nowhere.
+const HEADS_PER_CLASS: usize = 8;
+/// Up to this number of upstreams all are scanned; of more, a sample.
+const MAX_FULL_SCAN: usize = 16;
+/// Maximum number of candidates kept in an explanation.
 const EXPLAINED_CANDIDATES: usize = 8;
-/// The longest time that a turn is computed for; no request waits that long.
-const LONGEST_TURN: Duration = Duration::from_secs(3600);
-/// The shortest time after which a refused caller may come back.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Upper bound of a computed turn delay; no request waits that long.
+const MAX_TURN_DELAY: Duration = Duration::from_secs(3600);
+/// Minimum delay after which a refused caller may retry.
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl World {
-    /// Runs every system once and returns what they decided.
+    /// Runs every pass once and returns their decisions.
     pub fn tick(&mut self, now: Time) -> Vec<Decision> {
         self.expire(now);
         let mut decisions = std::mem::take(&mut self.refused);
         self.place(now, &mut decisions);
-        self.give_up(now);
-        self.give_up_beyond_rates(now);
+        self.refuse_unreachable(now);
+        self.refuse_rate_limited(now);
         decisions.append(&mut self.refused);
         decisions
     }
 
-    /// Refuses at once what waits for a service of which no upstream will be given
-    /// work before the request's deadline. Its caller learns it 90 ms sooner where the
-    /// objective is 150 ms, and when the first upstream is tried again.
-    fn give_up(&mut self, now: Time) {
+    /// Refuses requests for which no upstream will accept work before their deadline,
+    /// without waiting for the deadline. With an objective of 150 ms the caller gets the
+    /// refusal 90 ms sooner, together with the time at which the first upstream is tried
+    /// again.
+    fn refuse_unreachable(&mut self, now: Time) {
         let mut openings: HashMap<&str, Option<Opening>> = HashMap::new();
-        let mut hopeless = Vec::new();
+        let mut unreachable = Vec::new();
         for &(deadline, key) in &self.deadlines {
             let service = self.requests[key].submission.service.as_str();
             let opening = openings
                 .entry(service)
                 .or_insert_with(|| self.opening(now, service));
             if opening.is_none_or(|opening| opening.at > deadline) {
-                hopeless.push((key, *opening));
+                unreachable.push((key, *opening));
             }
         }
-        for (key, opening) in hopeless {
-            let wait = opening.map_or(RETRY_AFTER, |o| o.at.saturating_sub(now));
+        for (key, opening) in unreachable {
+            let wait = opening.map_or(MIN_RETRY_AFTER, |o| o.at.saturating_sub(now));
             let reason = match opening {
-                Some(Opening { rests: true, .. }) => NotRunReason::Resting,
+                Some(Opening { paused: true, .. }) => NotRunReason::Resting,
                 _ => NotRunReason::Unreachable,
             };
             self.refuse_for(key, reason, wait);
         }
     }
 
-    /// Refuses at once what waits for a service all of whose upstreams bound their rates, and
-    /// would not be reached in time even if this VM used all that its fleet may use there.
-    fn give_up_beyond_rates(&mut self, now: Time) {
-        let mut supplies: HashMap<&str, Option<f64>> = HashMap::new();
+    /// Refuses requests to services whose upstreams all have rate limits, if their turn would
+    /// come after the deadline even if this VM used the whole fleet's share of these limits.
+    fn refuse_rate_limited(&mut self, now: Time) {
+        let mut totals: HashMap<&str, Option<f64>> = HashMap::new();
         let mut waiting: HashMap<&str, Vec<RequestKey>> = HashMap::new();
         for &(_, key) in &self.deadlines {
             let service = self.requests[key].submission.service.as_str();
-            let supply = supplies
+            let total = totals
                 .entry(service)
-                .or_insert_with(|| self.bounded_supply(now, service));
-            if supply.is_some() {
+                .or_insert_with(|| self.total_rate_limit(now, service));
+            if total.is_some() {
                 waiting.entry(service).or_default().push(key);
             }
         }
-        let late: Vec<(RequestKey, Duration)> = waiting
+        let late_requests: Vec<(RequestKey, Duration)> = waiting
             .into_iter()
-            .filter_map(|(service, keys)| Some(self.late_turns(now, keys, supplies[service]?)))
+            .filter_map(|(service, keys)| Some(self.past_deadline(now, keys, totals[service]?)))
             .flatten()
             .collect();
-        for (key, turn) in late {
-            self.refuse_for(key, NotRunReason::RateLimited, turn.max(RETRY_AFTER));
+        for (key, turn) in late_requests {
+            self.refuse_for(key, NotRunReason::RateLimited, turn.max(MIN_RETRY_AFTER));
         }
     }
 
-    /// Those of some waiting requests whose turn comes after their deadline at so many
-    /// requests a second, and when it would come.
-    fn late_turns(
+    /// Returns those of the given waiting requests whose turn comes after their deadline at
+    /// `rate` requests per second, each with the delay until its turn.
+    fn past_deadline(
         &self,
         now: Time,
         mut keys: Vec<RequestKey>,
@@ -93,45 +94,46 @@
             let request = &self.requests[*key];
             (request.submission.priority, request.since)
         });
-        let mut late = Vec::new();
-        // The first one's turn may come at any time.
-        let mut before = 0;
+        let mut late_requests = Vec::new();
+        // The first request may be sent at any time.
+        let mut ahead = 0;
         for key in keys {
-            let turn = (f64::from(before) / rate).min(LONGEST_TURN.as_secs_f64());
+            let turn = (f64::from(ahead) / rate).min(MAX_TURN_DELAY.as_secs_f64());
             let turn = Duration::from_secs_f64(turn);
             match now + turn > self.requests[key].submission.deadline {
-                true => late.push((key, turn)),
-                false => before += 1,
+                true => late_requests.push((key, turn)),
+                false => ahead += 1,
             }
         }
-        late
+        late_requests
     }
 
-    /// The requests a second that a service's upstreams take from the VMs that share their
-    /// rates with this one; `None` if one takes as many as come, or it is not known.
-    fn bounded_supply(&self, now: Time, service: &str) -> Option<f64> {
+    /// Total requests per second that a service's upstreams accept from the VMs that share
+    /// their rate limits with this one. `None` if an upstream has no limit, or if the total is
+    /// not known.
+    fn total_rate_limit(&self, now: Time, service: &str) -> Option<f64> {
         let serving = self.upstreams.serving(service)?;
         let rows = serving.keys.iter().filter_map(|k| self.upstreams.get(*k));
         let wanted = rows.filter(|u| u.wants_work(now));
         let rates: Option<Vec<f64>> = wanted.map(|u| self.shared_rate(now, u)).collect();
-        let supply: f64 = rates?.iter().sum();
-        (supply > 0.0).then_some(supply)
+        let total: f64 = rates?.iter().sum();
+        (total > 0.0).then_some(total)
     }
 
-    /// When an upstream of a service may be given work at the earliest.
+    /// Earliest time at which an upstream of a service accepts work.
     fn opening(&self, now: Time, service: &str) -> Option<Opening> {
         let serving = self.upstreams.serving(service)?;
         let rows = serving.keys.iter().filter_map(|k| self.upstreams.get(*k));
         let openings = rows.filter_map(|u| {
             Some(Opening {
                 at: u.opens_at(now)?,
-                rests: !u.wants_work(now),
+                paused: !u.wants_work(now),
             })
         });
         openings.min_by_key(|opening| opening.at)
     }
 
-    /// Refuses what could not be placed by its deadline.
+    /// Refuses requests that have not been placed by their deadline.
     fn expire(&mut self, now: Time) {
         while let Some(&(deadline, key)) = self.deadlines.first() {
             if deadline > now {
@@ -147,10 +149,10 @@
 
     fn refuse_for(&mut self, key: RequestKey, reason: NotRunReason, retry_after: Duration) {
         let row = &mut self.requests[key];
-        let place = row.place.take();
+        let position = row.queue_position.take();
         let deadline = row.submission.deadline;
-        if let Some(place) = place {
-            self.queue.remove(place);
+        if let Some(position) = position {
+            self.queue.remove(position);
             self.deadlines.remove(&(deadline, key));
         }
         self.refused.push(Decision::Refuse {
@@ -160,13 +162,13 @@
         });
     }
 
-    /// A fuller queue asks callers to stay away for longer.
+    /// Delay after which refused callers may retry; it grows with the queue length.
     fn retry_after(&self) -> Duration {
         let fullness = self.queue.len() as f64 / self.settings.max_queued.max(1) as f64;
-        RETRY_AFTER + self.settings.ageing.mul_f64(fullness)
+        MIN_RETRY_AFTER + self.settings.ageing.mul_f64(fullness)
     }
 
-    /// Places waiting requests, most urgent class first, until no head fits.
+    /// Places waiting requests in the queue's service order until no head fits.
     fn place(&mut self, now: Time, decisions: &mut Vec<Decision>) {
         loop {
             let placed = self
@@ -182,30 +184,30 @@
     }
 
     fn place_one(&mut self, now: Time, class: u8) -> Option<Decision> {
-        let heads = self.queue.heads(class, now, HEADS);
+        let heads = self.queue.heads(class, now, HEADS_PER_CLASS);
         heads.into_iter().find_map(|key| self.try_place(now, key))
     }
 
     fn try_place(&mut self, now: Time, key: RequestKey) -> Option<Decision> {
         let submission = &self.requests[key].submission;
-        if let Some(most) = submission.max_running
-            && self.limits.running(&submission.organisation) >= most
+        if let Some(limit) = submission.max_running
+            && self.limits.running(&submission.organisation) >= limit
         {
             return None;
         }
         let new = self.forecast(key, submission, 0);
         let mut candidates = self.candidates(now, new, true);
         if candidates.is_empty() {
-            // Better the same upstream again than none.
+            // An upstream to avoid is still better than none.
             candidates = self.candidates(now, new, false);
         }
         let chosen = self.settings.policy.choose(&candidates, &mut self.rng)?;
-        self.explain(now, key, &candidates, chosen);
+        self.record_explanation(now, key, &candidates, chosen);
         Some(self.hand_over(now, candidates[chosen].upstream, new))
     }
 
-    /// What a request holds after it has written `so_far`, and what it is
-    /// forecast still to write.
+    /// Memory use of a request after `so_far` output tokens, with its forecast remaining
+    /// length.
     pub(crate) fn forecast(&self, key: RequestKey, s: &Submission, so_far: u64) -> OwnRun {
         let remaining = match s.known_tokens {
             Some(tokens) => tokens.saturating_sub(so_far) as f64,
@@ -226,10 +228,9 @@
         }
     }
 
-    /// The share of an engine's memory that a request must leave free: the
-    /// longer it is forecast to grow, the more of the reserve. What is urgent
-    /// leaves none.
-    fn must_leave(&self, priority: u8, new: OwnRun) -> f64 {
+    /// Share of an engine's memory that a request must leave free. It grows with the
+    /// forecast remaining length up to the whole reserve, and is 0 for urgent requests.
+    fn required_reserve(&self, priority: u8, new: OwnRun) -> f64 {
         let growth = new.remaining / self.settings.look_ahead.max(1) as f64;
         match priority {
             0 => 0.0,
@@ -237,9 +238,9 @@
         }
     }
 
-    /// The upstreams that may take a request now. Of many, some are looked at
-    /// from a random place on, the own failure domain's first.
-    fn candidates(&mut self, now: Time, new: OwnRun, avoiding: bool) -> Vec<Candidate> {
+    /// Upstreams that can accept a request now. If there are many, a sample is scanned from
+    /// a random start, this VM's failure domain first.
+    fn candidates(&mut self, now: Time, new: OwnRun, skip_avoided: bool) -> Vec<Candidate> {
         let draw: usize = self.rng.random_range(0..usize::MAX);
         let submission = &self.requests[new.key].submission;
         let Some(serving) = self.upstreams.serving(&submission.service) else {
@@ -250,20 +251,26 @@
             submission,
             new,
             now,
-            avoiding,
-            leave: self.must_leave(submission.priority, new),
-            alternatives: (serving.local as f64 / LOCAL.enough as f64).max(1.0),
+            skip_avoided,
+            reserve: self.required_reserve(submission.priority, new),
+            alternatives: (serving.local as f64 / LOCAL_SCAN.max_fitting as f64).max(1.0),
         };
         let (local, remote) = serving.keys.split_at(serving.local);
-        if serving.keys.len() <= EXACT {
+        if serving.keys.len() <= MAX_FULL_SCAN {
             return scan.all(local).chain(scan.all(remote)).collect();
         }
-        let mut found = scan.some(local, draw, LOCAL);
-        found.extend(scan.some(remote, draw, REMOTE));
+        let mut found = scan.sample(local, draw, LOCAL_SCAN);
+        found.extend(scan.sample(remote, draw, REMOTE_SCAN));
         found
     }
 
-    fn explain(&mut self, now: Time, key: RequestKey, candidates: &[Candidate], chosen: usize) {
+    fn record_explanation(
+        &mut self,
+        now: Time,
+        key: RequestKey,
+        candidates: &[Candidate],
+        chosen: usize,
+    ) {
         let row = &self.requests[key];
         let name = |k: UpstreamKey| {
             let row = self.upstreams.get(k);
@@ -296,11 +303,11 @@
         let key = new.key;
         let row = &mut self.requests[key];
         row.upstream = Some(upstream);
-        let place = row.place.take();
+        let position = row.queue_position.take();
         let deadline = row.submission.deadline;
         let organisation = row.submission.organisation.clone();
-        if let Some(place) = place {
-            self.queue.taken(place);
+        if let Some(position) = position {
+            self.queue.dequeue(position);
             self.deadlines.remove(&(deadline, key));
         }
         self.limits.add(&organisation);
@@ -317,59 +324,59 @@
     }
 }
 
-/// When an upstream may be given work again.
+/// The next time at which an upstream accepts work.
 #[derive(Clone, Copy, Debug)]
 struct Opening {
     at: Time,
-    /// Whether it has asked for rest until then.
-    rests: bool,
+    /// Whether the upstream has asked for a pause until then.
+    paused: bool,
 }
 
-/// One look at upstreams for one request.
+/// A scan of upstreams for one request.
 struct Scan<'a> {
     world: &'a World,
     submission: &'a Submission,
     new: OwnRun,
     now: Time,
-    avoiding: bool,
-    leave: f64,
+    skip_avoided: bool,
+    reserve: f64,
     alternatives: f64,
 }
 
-/// How far a look goes.
+/// Limits of a sampled scan.
 #[derive(Clone, Copy)]
-struct Bounds {
-    /// Upstreams looked at.
-    looks: usize,
-    /// Upstreams that fit, after which it ends.
-    enough: usize,
+struct ScanLimits {
+    /// Maximum number of upstreams scanned.
+    max_scanned: usize,
+    /// Number of fitting upstreams after which the scan ends.
+    max_fitting: usize,
 }
 
-const LOCAL: Bounds = Bounds {
-    looks: 40,
-    enough: 6,
+const LOCAL_SCAN: ScanLimits = ScanLimits {
+    max_scanned: 40,
+    max_fitting: 6,
 };
-const REMOTE: Bounds = Bounds {
-    looks: 16,
-    enough: 3,
+const REMOTE_SCAN: ScanLimits = ScanLimits {
+    max_scanned: 16,
+    max_fitting: 3,
 };
 
 impl Scan<'_> {
-    /// The upstream at a place of a list, if it may be given work.
-    fn candidate(&self, keys: &[UpstreamKey], place: usize) -> Option<Candidate> {
-        let key = keys[place];
+    /// The upstream at an index of a list, if it accepts work.
+    fn candidate(&self, keys: &[UpstreamKey], index: usize) -> Option<Candidate> {
+        let key = keys[index];
         let u = self.world.upstreams.get(key)?;
-        let avoided = self.avoiding && self.submission.avoid.contains(&u.spec.id);
+        let avoided = self.skip_avoided && self.submission.avoid.contains(&u.spec.id);
         if avoided || !u.open(self.now) || !self.world.bears_one_more(self.now, u) {
             return None;
         }
         let urgent = self.submission.priority == 0;
         let fill = u.fill_with(Some(self.new));
-        // What is urgent is small and never made to wait for memory: the engine
-        // makes room at the cost of the least urgent. An idle engine takes even
-        // a request forecast to outgrow it.
+        // Urgent requests are small and do not wait for memory: the engine preempts
+        // less urgent ones. An idle engine accepts even a request that is forecast to
+        // exceed its memory.
         let fits = urgent
-            || fill <= self.world.settings.placed_fill - self.leave
+            || fill <= self.world.settings.placed_fill - self.reserve
             || u.estimated_running() == 0;
         Some(Candidate {
             upstream: key,
@@ -385,22 +392,22 @@
     }
 
     fn all(&self, keys: &[UpstreamKey]) -> impl Iterator<Item = Candidate> {
-        (0..keys.len()).filter_map(|place| self.candidate(keys, place))
+        (0..keys.len()).filter_map(|index| self.candidate(keys, index))
     }
 
-    /// Looks at some of a list, from a drawn place on.
-    fn some(&self, keys: &[UpstreamKey], draw: usize, bounds: Bounds) -> Vec<Candidate> {
-        let mut found = Vec::with_capacity(bounds.enough);
+    /// Scans part of a list, starting at the random position `draw`.
+    fn sample(&self, keys: &[UpstreamKey], draw: usize, scan_limits: ScanLimits) -> Vec<Candidate> {
+        let mut found = Vec::with_capacity(scan_limits.max_fitting);
         if keys.is_empty() {
             return found;
         }
-        for step in 0..keys.len().min(bounds.looks) {
+        for step in 0..keys.len().min(scan_limits.max_scanned) {
             let i = (draw % keys.len() + step) % keys.len();
             if let Some(candidate) = self.candidate(keys, i)
                 && candidate.fits
             {
                 found.push(candidate);
-                if found.len() == bounds.enough {
+                if found.len() == scan_limits.max_fitting {
                     break;
                 }
             }
--- a/trouttrack_core/src/world/tables.rs
+++ b/trouttrack_core/src/world/tables.rs
@@ -1,7 +1,7 @@
-//! The tables: requests, upstreams, lengths, explanations.
+//! Scheduling state: requests, upstreams, learned lengths, explanations.
 
-use super::peers::PeersHeard;
-use super::queue::{FairQueue, Place};
+use super::peers::PeerHeartbeats;
+use super::queue::{FairQueue, QueuePosition};
 use crate::length::{LengthKey, LengthTable};
 use crate::membership::{Evacuations, UpstreamUse};
 use crate::routing::{AnyPolicy, ExplanationTable};
@@ -14,141 +14,144 @@
 use std::time::Duration;
 
 new_key_type! {
-    /// Key of a request's row in this process.
+    /// Key of a request's row; valid in this process only.
     pub struct RequestKey;
 }
 
-/// Forecast memory over capacity up to which a request is placed on an engine, where
-/// nothing else is set. What is forecast beyond the capacity begins as soon as another
-/// request ends there, which is sooner than a place is found once all are taken; and a
-/// forecast is often too high.
+/// Default limit of forecast memory use divided by capacity up to which a request is
+/// placed on an engine.
 ///
-/// With this and [`MOVED_FILL`], 1,917 of 26,490 long generations were late and 3,435 lost
-/// on 20 days of 64 VMs before 72 engines whose memory was nearly full; with 1.0 for both
-/// 2,095 and 3,579 of 26,419, late short ones 2,803 and 2,490. In the model of the
-/// decision bench (load 0.9, five seeds) nothing is preempted up to this, and long
-/// requests begin after 3.9 s in the median where they take 18.7 s with 1.0; with 1.3 a
-/// tenth of them is preempted.
+/// It is above 1.0 because forecasts are often too high, and because a request that does
+/// not fit yet starts as soon as another one ends on that engine, which is sooner than it
+/// would be placed from the queue of a full fleet.
+///
+/// In 20 simulated days of 64 VMs and 72 engines with nearly full memory, this value and
+/// [`MOVED_FILL`] gave 1,917 late and 3,435 lost of 26,490 long generations, and 2,803 late
+/// short ones. With 1.0 for both there were 2,095 late and 3,579 lost of 26,419, and 2,490
+/// late short ones. In the decision benchmark (load 0.9, five seeds) long requests start
+/// after a median of 3.9 s without any preemption; with 1.0 they take 18.7 s, and with 1.3
+/// a tenth of them is preempted.
 pub const PLACED_FILL: f64 = 1.15;
-/// The same for moves. A generation that finds no target is lost, one that finds no room
-/// at it is told so and goes elsewhere.
+/// Default limit of the same ratio for moving a running request. It is higher than
+/// [`PLACED_FILL`] because a generation without a target is lost, whereas a target without
+/// enough memory refuses it and another one is tried.
 pub const MOVED_FILL: f64 = 1.25;
-/// Requests whose decisions are kept.
-const EXPLAINED: usize = 4096;
+/// Number of requests whose decisions are kept.
+const MAX_EXPLANATIONS: usize = 4096;
 
-/// What one gateway needs to know to decide.
+/// Settings of the scheduler of one gateway.
 #[derive(Clone, Debug)]
 pub struct WorldSettings {
-    /// The failure domain of this process.
+    /// Failure domain of this process.
     pub failure_domain: String,
-    /// How much longer each priority class may wait than the one above it.
+    /// Additional wait allowed per priority class below class 0.
     pub ageing: Duration,
-    /// A request that has waited this long is served before all shares.
+    /// Wait after which a request is served before all others, regardless of class and share.
     pub max_wait: Duration,
-    /// The most requests that wait; beyond it they are refused.
+    /// Maximum queue length; further requests are refused.
     pub max_queued: usize,
-    /// The share of an engine's memory kept free for class 0.
+    /// Share of an engine's memory that is reserved for class 0.
     pub urgent_reserve: f64,
-    /// The quantile of remaining tokens that the memory forecast uses.
+    /// Quantile of the remaining length that the memory forecast uses.
     pub growth_quantile: f64,
-    /// The forecast memory over an engine's capacity up to which a request is placed
-    /// there; less the reserve.
+    /// Maximum forecast memory use divided by capacity for placing a request on an engine,
+    /// before the reserve is subtracted.
     pub placed_fill: f64,
-    /// The same up to which a running generation is moved there.
+    /// Maximum of the same ratio for moving a running generation to an engine.
     pub moved_fill: f64,
-    /// How many tokens ahead the memory forecast looks; by then others have
-    /// ended and given their memory back.
+    /// Horizon of the memory forecast in tokens. Beyond it, other requests have ended and
+    /// freed their memory.
     pub look_ahead: u64,
-    /// The routing policy.
+    /// Routing policy.
     pub policy: AnyPolicy,
-    /// Seed of the generator that samples candidates.
+    /// Seed of the random generator that samples candidates.
     pub seed: u64,
 }
 
 /// A request as the gateway submits it.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// The id that the caller was given.
+    /// Request id returned to the caller.
     pub id: RequestId,
-    /// Whose it is.
+    /// Organisation that the request is accounted to.
     pub organisation: OrganisationId,
-    /// The organisation's weight in the fair share.
+    /// The organisation's weight in fair queueing.
     pub weight: f64,
-    /// The service that runs it.
+    /// Requested service.
     pub service: ServiceId,
-    /// What its length is learned under.
+    /// Key under which its output length is learned.
     pub length_key: LengthKey,
-    /// Its class; 0 is the most urgent.
+    /// Priority class; 0 is the most urgent.
     pub priority: u8,
-    /// Tokens of its prompt (zero for plain services).
+    /// Prompt length in tokens (zero for plain services).
     pub prompt_tokens: u64,
-    /// It is refused if it has not been placed by then.
+    /// Time by which it must be placed, or else it is refused.
     pub deadline: Time,
-    /// The most hand-overs of this organisation at once, if limited.
+    /// Maximum number of concurrently running requests of the organisation, if limited.
     pub max_running: Option<usize>,
-    /// Upstreams that it is placed on again only if no other takes it.
+    /// Upstreams to use only if no other upstream is available.
     pub avoid: Vec<String>,
-    /// The tokens that its caller guesses it will write.
+    /// Output length in tokens as estimated by the caller.
     pub guessed_tokens: Option<u64>,
-    /// The tokens that it will write, if someone knows (only an oracle does).
+    /// Actual output length in tokens; set only by oracle baselines.
     pub known_tokens: Option<u64>,
 }
 
-/// One request's row.
+/// A waiting or running request.
 #[derive(Debug)]
 pub struct Request {
-    /// What was submitted.
+    /// The submission.
     pub submission: Submission,
-    /// When it was submitted.
+    /// Time of submission.
     pub since: Time,
-    /// The upstream that it was given to.
+    /// Upstream on which the request runs, once placed.
     pub upstream: Option<UpstreamKey>,
-    pub(crate) place: Option<Place>,
+    pub(crate) queue_position: Option<QueuePosition>,
 }
 
 /// Why a request is not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum NotRunReason {
-    /// Too many wait.
+    /// The queue is full.
     QueueFull,
     /// It could not be placed before its deadline.
     Deadline,
     /// No upstream is configured for its service.
     NoUpstream,
-    /// Every upstream leaves or gets no work before its deadline.
+    /// Every upstream is leaving, or gets no work before the request's deadline.
     Unreachable,
-    /// The first upstream that gets work again has asked for a pause that lasts beyond its
-    /// deadline.
+    /// The upstream that is the first to accept work again has asked for a pause beyond the
+    /// request's deadline.
     Resting,
-    /// Every upstream takes so few requests a second that its turn comes after its deadline.
+    /// At the rate limits of all upstreams the request could not be sent before its deadline.
     RateLimited,
-    /// A retry was due and the service's retry budget is used up.
+    /// A retry was needed and the service's retry budget is exhausted.
     RetryBudget,
 }
 
-/// What a system decided.
+/// Decision about a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Hand the request over to this upstream.
+    /// Send the request to an upstream.
     Place {
         /// The request.
         request: RequestKey,
-        /// The upstream's name.
+        /// Id of the upstream.
         upstream: String,
     },
-    /// Tell the caller that the request is not run.
+    /// Refuse the request without running it.
     Refuse {
         /// The request.
         request: RequestKey,
-        /// Why.
+        /// Reason of the refusal.
         reason: NotRunReason,
-        /// When the caller may come back.
+        /// Delay after which the caller may retry.
         retry_after: Duration,
     },
 }
 
-/// An organisation's running hand-overs, against its limit.
+/// Number of running requests per organisation.
 #[derive(Debug, Default)]
 pub struct Limits {
     running: HashMap<OrganisationId, usize>,
@@ -173,7 +176,7 @@
     }
 }
 
-/// The tables of one gateway.
+/// Scheduling state of one gateway.
 ///
 /// # Examples
 ///
@@ -200,32 +203,32 @@
 pub struct World {
     /// All upstreams.
     pub upstreams: UpstreamTable,
-    /// Learned lengths.
+    /// Learned output lengths.
     pub lengths: LengthTable,
-    /// The last decisions.
+    /// Explanations of the latest decisions.
     pub explanations: ExplanationTable,
     pub(crate) settings: WorldSettings,
     pub(crate) requests: SlotMap<RequestKey, Request>,
     pub(crate) queue: FairQueue,
     pub(crate) deadlines: BTreeSet<(Time, RequestKey)>,
     pub(crate) limits: Limits,
-    pub(crate) peers: PeersHeard,
-    /// What upstreams have said of themselves; each row has its own.
+    pub(crate) peers: PeerHeartbeats,
+    /// Status reported by upstreams about themselves; each row holds a copy of its own.
     pub(crate) words: Words,
-    /// What this VM may use of a rate that is bounded over all VMs; nothing until it is told.
+    /// Share that this VM has of a rate limit common to all VMs; none until it is set.
     pub(crate) rate_share: RateShare,
     pub(crate) rng: SmallRng,
     pub(crate) refused: Vec<Decision>,
 }
 
 impl World {
-    /// Empty tables.
+    /// Creates an empty state.
     #[must_use]
     pub fn new(settings: WorldSettings) -> Self {
         Self {
             upstreams: UpstreamTable::default(),
             lengths: LengthTable::default(),
-            explanations: ExplanationTable::new(EXPLAINED),
+            explanations: ExplanationTable::new(MAX_EXPLANATIONS),
             queue: FairQueue::new(settings.ageing, settings.max_wait),
             rate_share: RateShare::NONE,
             rng: SmallRng::seed_from_u64(settings.seed),
@@ -233,46 +236,46 @@
             requests: SlotMap::with_key(),
             deadlines: BTreeSet::new(),
             limits: Limits::default(),
-            peers: PeersHeard::default(),
+            peers: PeerHeartbeats::default(),
             words: Words::default(),
             refused: Vec::new(),
         }
     }
 
-    /// Takes the upstreams of a new configuration.
+    /// Replaces the upstreams by those of a new configuration.
     pub fn configure(&mut self, specs: Vec<Spec>) {
         self.upstreams
             .configure(specs, &self.settings.failure_domain);
-        self.refresh_words();
+        self.refresh_all_statuses();
     }
 
-    /// Takes one upstream, or what is new of it.
+    /// Adds or updates one upstream.
     pub fn put_upstream(&mut self, spec: Spec) {
         let id = spec.id.clone();
         self.upstreams.insert(spec, &self.settings.failure_domain);
-        self.refresh_word(&id);
+        self.refresh_status(&id);
     }
 
-    /// An upstream is gone.
+    /// Removes an upstream.
     pub fn remove_upstream(&mut self, id: &str) {
         self.upstreams.remove(id);
     }
 
-    /// Takes in an upstream's load report.
+    /// Records an upstream's load report.
     pub fn report(&mut self, upstream: &str, report: Report) {
         if let Some(row) = self.row_mut(upstream) {
             row.take_report(report);
         }
     }
 
-    /// The own use of upstreams, for the heartbeat.
+    /// This VM's use of upstreams, as sent in its heartbeat.
     #[must_use]
     pub fn own_uses(&self, now: Time) -> Vec<UpstreamUse> {
-        let told = |u: &Upstream| {
-            let bounded = u.handovers.own(now).recent > 0;
-            u.own_running > 0 || bounded || u.losses.age(now).is_some()
+        let is_reported = |u: &Upstream| {
+            let rate_limited = u.handovers.own(now).recent > 0;
+            u.own_running > 0 || rate_limited || u.losses.age(now).is_some()
         };
-        let used = self.upstreams.iter().filter(|(_, u)| told(u));
+        let used = self.upstreams.iter().filter(|(_, u)| is_reported(u));
         used.map(|(_, u)| UpstreamUse {
             upstream: u.spec.id.clone(),
             running: u.own_running as u32,
@@ -286,32 +289,33 @@
         .collect()
     }
 
-    /// Others mark an upstream as leaving, or as staying after all.
+    /// Marks an upstream as leaving, or withdraws that mark, as reported by another VM.
     pub fn set_leaving(&mut self, upstream: &str, leaving: bool) {
         if let Some(row) = self.row_mut(upstream) {
             row.leaving = leaving;
         }
     }
 
-    /// Takes how many VMs share a bounded rate, by how many of them are heard.
+    /// Sets this VM's share of common rate limits, which follows from the number of VMs that
+    /// are heard.
     pub fn set_rate_share(&mut self, share: RateShare) {
         self.rate_share = share;
     }
 
-    /// Whether an upstream bears one more request, if its rate is bounded.
+    /// Whether the rate limit of an upstream, if it has one, permits one more request.
     pub(crate) fn bears_one_more(&self, now: Time, u: &Upstream) -> bool {
         let near = u.spec.failure_domain == self.settings.failure_domain;
         u.bears_one_more(now, self.rate_share, near, self.settings.seed)
     }
 
-    /// The requests a second that this VM and those that share a rate with it may hand over
-    /// to an upstream, if that is bounded.
+    /// Requests per second that this VM and those that share a rate limit with it may send
+    /// to an upstream, if it is limited.
     pub(crate) fn shared_rate(&self, now: Time, u: &Upstream) -> Option<f64> {
         let near = u.spec.failure_domain == self.settings.failure_domain;
         u.shared_rate(now, self.rate_share, near)
     }
 
-    /// Takes the failure domains that are evacuated: their upstreams get no new work.
+    /// Sets the failure domains under evacuation; their upstreams get no new work.
     pub fn set_evacuations(&mut self, evacuations: Evacuations) {
         self.upstreams.evacuate(evacuations);
     }
@@ -321,33 +325,33 @@
         self.upstreams.get_mut(key)
     }
 
-    /// Puts a request in the queue; the next tick decides.
+    /// Adds a request to the queue; the next tick decides on it.
     pub fn submit(&mut self, now: Time, submission: Submission) -> RequestKey {
         let expected = self.lengths.remaining(submission.length_key, 0, 0.5);
         let cost = (submission.prompt_tokens as f64 + expected) / submission.weight.max(1e-3);
         let (class, deadline) = (submission.priority, submission.deadline);
         let organisation = submission.organisation.clone();
-        let known = self.upstreams.serving(&submission.service).is_some();
+        let has_upstream = self.upstreams.serving(&submission.service).is_some();
         let key = self.requests.insert(Request {
             submission,
             since: now,
             upstream: None,
-            place: None,
+            queue_position: None,
         });
-        if !known {
+        if !has_upstream {
             self.refuse(key, NotRunReason::NoUpstream);
         } else if self.queue.len() >= self.settings.max_queued {
             self.refuse(key, NotRunReason::QueueFull);
         } else {
-            let place = self.queue.push(key, class, &organisation, cost, now);
-            self.requests[key].place = Some(place);
+            let position = self.queue.push(key, class, &organisation, cost, now);
+            self.requests[key].queue_position = Some(position);
             self.deadlines.insert((deadline, key));
         }
         key
     }
 
-    /// A running request has written `tokens` so far: its forecast is made anew.
-    /// Returns whether these are its first ones, so that its prompt is loaded now.
+    /// Updates the forecast of a running request that has produced `tokens` so far.
+    /// Returns whether these are its first tokens, which means that its prompt is loaded.
     pub fn progress(&mut self, key: RequestKey, tokens: u64) -> bool {
         let Some(row) = self.requests.get(key) else {
             return false;
@@ -360,15 +364,15 @@
         upstream.is_some_and(|u| u.progress(run))
     }
 
-    /// The attempt at the request's upstream is over. `fault` says whether it
-    /// failed in a way that speaks against the upstream; `tokens` is the whole
-    /// length, when the answer ended by itself. Returns whether an engine has memory
-    /// back, so that other VMs are to hear of it.
+    /// Records that the attempt at the request's upstream has ended. `fault` marks a
+    /// failure that counts against the upstream; `tokens` is the output length of a
+    /// complete answer. Returns whether an engine has freed memory, in which case other VMs
+    /// are to be notified.
     pub fn ended(&mut self, now: Time, key: RequestKey, fault: bool, tokens: Option<u64>) -> bool {
         let Some(row) = self.requests.remove(key) else {
             return false;
         };
-        self.leave_queue(key, &row);
+        self.remove_from_queue(key, &row);
         let Some(upstream) = row.upstream else {
             return false;
         };
@@ -378,7 +382,7 @@
         }
         if let Some(u) = self.upstreams.get_mut(upstream) {
             u.remove(key);
-            // An end without news, such as that of a caller that leaves, clears nothing.
+            // If neither is known, as when the caller disconnects, earlier failures still count.
             if fault {
                 u.circuit.failed(now);
             } else if tokens.is_some() {
@@ -390,8 +394,8 @@
         row.submission.prompt_tokens > 0
     }
 
-    /// The attempt at the request's upstream found nobody there: no connection,
-    /// or no word in time.
+    /// Records that the request's upstream could not be reached: no connection, or no
+    /// answer in time.
     pub fn unreachable(&mut self, now: Time, key: RequestKey) {
         let upstream = self.requests.get(key).and_then(|row| row.upstream);
         if let Some(u) = upstream.and_then(|k| self.upstreams.get_mut(k)) {
@@ -399,10 +403,11 @@
         }
     }
 
-    /// The request's upstream turned it away. That is no good end: an upstream that
-    /// refuses is left alone for a moment. On 40 varied days of shed load before 4 plain
-    /// upstreams (6 and 7 VMs), 4,940 of 49,651 plain calls that may not be repeated were
-    /// refused while it counted as one, and 509 are; their worth rises by 0.08 and 0.05.
+    /// Records that the request's upstream refused it. A refusal does not count as a
+    /// success: the upstream gets no work for a moment. In 40 simulated days of load
+    /// shedding by 4 plain upstreams (6 and 7 VMs), 4,940 of 49,651 non-repeatable plain
+    /// calls were refused when it counted as a success, and 509 when it did not; the score
+    /// rose by 0.08 and 0.05.
     pub fn refused(&mut self, now: Time, key: RequestKey) {
         let upstream = self.requests.get(key).and_then(|row| row.upstream);
         if let Some(u) = upstream.and_then(|k| self.upstreams.get_mut(k)) {
@@ -411,7 +416,7 @@
         }
     }
 
-    /// The attempt's connection ended before any answer.
+    /// Records that the attempt's connection closed before any answer.
     pub fn lost(&mut self, now: Time, key: RequestKey) {
         let upstream = self.requests.get(key).and_then(|row| row.upstream);
         if let Some(u) = upstream.and_then(|k| self.upstreams.get_mut(k)) {
@@ -419,20 +424,20 @@
         }
     }
 
-    fn leave_queue(&mut self, key: RequestKey, row: &Request) {
-        if let Some(place) = row.place {
-            self.queue.remove(place);
+    fn remove_from_queue(&mut self, key: RequestKey, row: &Request) {
+        if let Some(position) = row.queue_position {
+            self.queue.remove(position);
             self.deadlines.remove(&(row.submission.deadline, key));
         }
     }
 
-    /// How many requests wait.
+    /// Number of waiting requests.
     #[must_use]
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Every request that waits or runs.
+    /// All waiting and running requests.
     pub fn requests(&self) -> impl Iterator<Item = (RequestKey, &Request)> {
         self.requests.iter()
     }
--- a/trouttrack_core/src/world/words.rs
+++ b/trouttrack_core/src/world/words.rs
@@ -1,12 +1,13 @@
-//! What upstreams say of themselves, in the tables that decisions are made on.
+//! Applies the status that upstreams report about themselves to the upstream table.
 
 use super::tables::World;
 use crate::upstream::{Incarnation, Said, ToldLimit, Word};
 use crate::{Time, UpstreamId};
 
 impl World {
-    /// Gives a row what its upstream has said, so that a row that was made anew knows it.
-    pub(super) fn refresh_word(&mut self, id: &str) {
+    /// Copies an upstream's reported status into its row. A row that has been recreated
+    /// gets the status reported before.
+    pub(super) fn refresh_status(&mut self, id: &str) {
         let Some(row) = self
             .upstreams
             .key(id)
@@ -17,43 +18,44 @@
         row.word = self.words.of(&row.life());
     }
 
-    /// Takes in what an upstream says of itself, whatever carried it. Returns whether that
-    /// is news.
-    pub fn hear(&mut self, now: Time, life: &Incarnation, said: Said) -> bool {
-        let news = self.words.hear(now, life, said);
-        self.refresh_word(&life.id);
-        news
+    /// Records a status report of an upstream, regardless of the channel it came by.
+    /// Returns whether it changed anything.
+    pub fn hear(&mut self, now: Time, incarnation: &Incarnation, said: Said) -> bool {
+        let changed = self.words.hear(now, incarnation, said);
+        self.refresh_status(&incarnation.id);
+        changed
     }
 
-    /// The limits of upstreams that other VMs are to hear of; see [`Words::limits`].
+    /// Rate limits reported by upstreams, to be passed on to other VMs; see
+    /// [`Words::limits`].
     #[must_use]
     pub fn limits(&self, now: Time, changed_after: Time) -> Vec<ToldLimit> {
         self.words.limits(now, changed_after)
     }
 
-    /// What a life of an upstream has said of itself.
+    /// Status reported by one incarnation of an upstream.
     #[must_use]
-    pub fn word_of(&self, life: &Incarnation) -> Word {
-        self.words.of(life)
+    pub fn word_of(&self, incarnation: &Incarnation) -> Word {
+        self.words.of(incarnation)
     }
 
-    /// Forgets what was said long ago by upstreams that are listed no more.
+    /// Drops old status reports of upstreams that are no longer listed.
     pub fn forget_words(&mut self, now: Time) {
         let upstreams = &self.upstreams;
-        let listed = |life: &Incarnation| {
-            let row = upstreams.get_by_id(&life.id);
-            row.is_some_and(|u| u.spec.born == life.born)
+        let listed = |incarnation: &Incarnation| {
+            let row = upstreams.get_by_id(&incarnation.id);
+            row.is_some_and(|u| u.spec.born == incarnation.born)
         };
         self.words.forget(now, listed);
     }
 
-    /// Gives every row what its upstream has said.
-    pub(super) fn refresh_words(&mut self) {
+    /// Copies the reported status of every upstream into its row.
+    pub(super) fn refresh_all_statuses(&mut self) {
         let ids: Vec<UpstreamId> = self
             .upstreams
             .iter()
             .map(|(_, u)| u.spec.id.clone())
             .collect();
-        ids.iter().for_each(|id| self.refresh_word(id));
+        ids.iter().for_each(|id| self.refresh_status(id));
     }
 }
--- a/trouttrack_core/tests/core/fleet_budget.rs
+++ b/trouttrack_core/tests/core/fleet_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget that VMs share without talk, under random schedules.
+//! The fleet-wide retry budget under random schedules of several VMs.
 
 use proptest::prelude::*;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 const RATIO: f64 = 0.2;
 const EXTRA: f64 = 54.0;
 
-/// One thing that happens at one VM.
+/// Event at one VM: a first attempt or a retry.
 #[derive(Clone, Copy, Debug)]
 struct Step {
     after_ms: u64,
@@ -27,8 +27,8 @@
     prop::collection::vec(step, 1..400)
 }
 
-/// Whether in some window more retries were made than the fleet may make for
-/// the requests of that window.
+/// Whether in any window more retries were made than the budget allows for the requests of
+/// that window.
 fn exceeds(first: &[Time], retries: &[Time]) -> bool {
     retries.iter().any(|&end| {
         let within = |t: &&Time| **t <= end && **t + WINDOW > end;
@@ -38,12 +38,12 @@
     })
 }
 
-/// Plays a schedule; `believed` is the number of VMs that each takes to share
-/// the budget.
-fn play(steps: &[Step], believed: usize) -> bool {
+/// Runs a schedule in which each VM assumes that `assumed_vms` share the budget. Returns
+/// whether the bound was exceeded.
+fn run_exceeds(steps: &[Step], assumed_vms: usize) -> bool {
     let mut budgets = vec![SharedBudget::new(RATIO, EXTRA, WINDOW); 7];
     let (mut first, mut retries) = (Vec::new(), Vec::new());
-    // The VMs started a window ago.
+    // Start after the VMs' first window, in which only part of the budget is usable.
     let mut now = WINDOW;
     for step in steps {
         now += Duration::from_millis(step.after_ms);
@@ -51,7 +51,7 @@
         if !step.retry {
             budget.first_attempt(now);
             first.push(now);
-        } else if budget.try_retry(now, believed) {
+        } else if budget.try_retry(now, assumed_vms) {
             retries.push(now);
         }
     }
@@ -60,19 +60,19 @@
 
 proptest! {
     #[test]
-    fn the_sum_stays_within_the_bound(steps in steps()) {
-        prop_assert!(!play(&steps, 7));
+    fn total_retries_stay_within_the_bound(steps in steps()) {
+        prop_assert!(!run_exceeds(&steps, 7));
     }
 
     #[test]
-    fn it_does_so_with_more_vms_believed_in(steps in steps()) {
-        prop_assert!(!play(&steps, 16));
+    fn overestimating_the_fleet_stays_within_the_bound(steps in steps()) {
+        prop_assert!(!run_exceeds(&steps, 16));
     }
 }
 
 #[test]
-fn a_vm_that_takes_itself_to_be_alone_breaks_it() {
-    // The planted mistake: every VM spends the whole extra.
+fn underestimating_the_fleet_exceeds_the_bound() {
+    // Verifies the check itself: every VM spends the whole extra.
     let storm: Vec<Step> = (0..400)
         .map(|n| Step {
             after_ms: 1,
@@ -80,13 +80,14 @@
             retry: true,
         })
         .collect();
-    assert!(play(&storm, 1));
-    assert!(!play(&storm, 7));
+    assert!(run_exceeds(&storm, 1));
+    assert!(!run_exceeds(&storm, 7));
 }
 
-/// A storm of retries through which every VM is killed and starts again, once, at times
-/// that are drawn: what the lives before have spent still counts for whoever counts.
-fn restarted(at_ms: [u64; 7], gap_ms: u64) -> bool {
+/// Runs a retry storm in which every VM restarts once, VM n at `at_ms[n]` after its
+/// beginning. Returns whether the bound was exceeded, counting the retries from before the
+/// restarts.
+fn storm_with_restarts_exceeds(at_ms: [u64; 7], gap_ms: u64) -> bool {
     let mut budgets = vec![SharedBudget::new(RATIO, EXTRA, WINDOW); 7];
     let mut started = [Time::ZERO; 7];
     let (first, mut retries) = (Vec::new(), Vec::new());
@@ -99,7 +100,7 @@
             started[vm] = restart_at;
             budgets[vm] = SharedBudget::new(RATIO, EXTRA, WINDOW);
         }
-        // Each life has a clock of its own.
+        // The clock of a VM starts anew with each restart.
         if budgets[vm].try_retry(now - started[vm], 7) {
             retries.push(now);
         }
@@ -109,62 +110,72 @@
 
 proptest! {
     #[test]
-    fn lives_before_count(
+    fn retries_before_a_restart_count(
         at_ms in prop::array::uniform7(0u64..15_000),
         gap_ms in 1u64..20,
     ) {
-        prop_assert!(!restarted(at_ms, gap_ms));
+        prop_assert!(!storm_with_restarts_exceeds(at_ms, gap_ms));
     }
 }
 
 #[test]
-fn all_vms_killed_at_once_in_a_storm_do_not_get_a_second_budget() {
-    assert!(!restarted([2_000; 7], 2));
+fn restarting_all_vms_in_a_storm_does_not_renew_the_budget() {
+    assert!(!storm_with_restarts_exceeds([2_000; 7], 2));
 }
 
-/// VMs of the largest fleet, and what they may retry in a window besides.
-const MANY: usize = 985;
-const MANY_EXTRA: f64 = 1040.0;
+/// Number of VMs of the largest fleet.
+const LARGEST_FLEET: usize = 985;
+/// Extra retries per window of the largest fleet.
+const LARGEST_FLEET_EXTRA: f64 = 1040.0;
 
 #[test]
-fn parts_below_one_retry_add_up_to_most_of_the_budget_and_no_more() {
-    for (vms, seed) in [(MANY, 1), (MANY, 2), (2 * MANY, 3)] {
-        let budget = |vm| SharedBudget::new(RATIO, MANY_EXTRA, WINDOW).seeded(seed << 32 | vm);
+fn fractional_shares_use_most_of_the_budget_within_the_bound() {
+    for (vms, seed) in [
+        (LARGEST_FLEET, 1),
+        (LARGEST_FLEET, 2),
+        (2 * LARGEST_FLEET, 3),
+    ] {
+        let budget =
+            |vm| SharedBudget::new(RATIO, LARGEST_FLEET_EXTRA, WINDOW).seeded(seed << 32 | vm);
         let mut budgets: Vec<SharedBudget> = (0..vms as u64).map(budget).collect();
         let mut retries = Vec::new();
-        // All VMs want to retry all the time, for three windows.
+        // All VMs try to retry once per second for three windows.
         for now in (10..40).map(Duration::from_secs) {
             let made = budgets
                 .iter_mut()
                 .filter_map(|b| b.try_retry(now, vms).then_some(now));
             retries.extend(made);
         }
-        assert!(retries.len() > 2 * MANY_EXTRA as usize, "{vms} VMs");
+        assert!(
+            retries.len() > 2 * LARGEST_FLEET_EXTRA as usize,
+            "{vms} VMs"
+        );
         let within = |end: &Time| {
             let in_window = |t: &&Time| **t <= *end && **t + WINDOW > *end;
             retries.iter().filter(in_window).count() as f64
         };
         let most = retries.iter().map(within).fold(0.0, f64::max);
-        assert!(most <= MANY_EXTRA, "{vms} VMs: {most}");
+        assert!(most <= LARGEST_FLEET_EXTRA, "{vms} VMs: {most}");
     }
 }
 
 #[test]
-fn vms_that_all_start_again_stay_within_the_bound_with_parts_below_one_retry() {
-    let budget =
-        |seed| move |vm| SharedBudget::new(RATIO, MANY_EXTRA, WINDOW).seeded(seed << 32 | vm);
+fn fractional_shares_stay_within_the_bound_after_a_fleet_restart() {
+    let budget = |seed| {
+        move |vm| SharedBudget::new(RATIO, LARGEST_FLEET_EXTRA, WINDOW).seeded(seed << 32 | vm)
+    };
     let spend = |seed: u64, now: Time| {
-        let mut budgets: Vec<SharedBudget> = (0..MANY as u64).map(budget(seed)).collect();
+        let mut budgets: Vec<SharedBudget> = (0..LARGEST_FLEET as u64).map(budget(seed)).collect();
         budgets
             .iter_mut()
-            .filter_map(|b| b.try_retry(now, MANY).then_some(()))
+            .filter_map(|b| b.try_retry(now, LARGEST_FLEET).then_some(()))
             .count()
     };
     for seed in 0..10 {
         let before = spend(2 * seed, WINDOW);
         let after = spend(2 * seed + 1, Duration::from_secs(1));
         assert!(
-            (before + after) as f64 <= MANY_EXTRA,
+            (before + after) as f64 <= LARGEST_FLEET_EXTRA,
             "seed {seed}: {before} + {after}"
         );
     }
--- a/trouttrack_core/tests/core/main.rs
+++ b/trouttrack_core/tests/core/main.rs
@@ -1,4 +1,4 @@
-//! The decisions, without input or output.
+//! Tests of the decision logic, which does no I/O.
 
 mod bounded_fleet;
 mod claims;
--- a/trouttrack_core/tests/core/quarantine.rs
+++ b/trouttrack_core/tests/core/quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests that end what runs them, told apart from those that merely ran there.
+//! Quarantine of requests that crash upstreams, without holding requests that only ran
+//! beside them.
 
 use proptest::prelude::*;
 use std::time::Duration;
@@ -25,8 +26,8 @@
     })
 }
 
-/// Three upstreams have ended under the fatal request, a second apart.
-fn holding() -> Quarantine {
+/// A quarantine in which three upstreams crashed while running [`FATAL`], one second apart.
+fn holding_quarantine() -> Quarantine {
     let mut quarantine = quarantine();
     for n in 1..=3 {
         assert!(quarantine.hold(at(n), FATAL).is_none());
@@ -36,8 +37,8 @@
 }
 
 #[test]
-fn after_so_many_ends_it_is_held_until_the_hold_is_over() {
-    let quarantine = holding();
+fn a_request_is_held_after_enough_crashes_until_the_hold_expires() {
+    let quarantine = holding_quarantine();
     let hold = quarantine.hold(at(3), FATAL).expect("a hold");
     assert_eq!((hold.ends, hold.left), (3, HOLD));
     assert!(quarantine.hold(at(602), FATAL).is_some());
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn an_end_long_before_the_last_does_not_shorten_the_hold() {
+fn an_early_crash_does_not_shorten_the_hold() {
     let mut quarantine = quarantine();
     for (n, seconds) in [1, 300, 500].into_iter().enumerate() {
         quarantine.ended(at(seconds), FATAL, &upstream(n as u64));
@@ -62,14 +63,14 @@
 }
 
 #[test]
-fn one_more_end_after_the_hold_begins_another() {
-    let mut quarantine = holding();
+fn a_crash_after_expiry_starts_a_new_hold() {
+    let mut quarantine = holding_quarantine();
     quarantine.ended(at(700), FATAL, &upstream(4));
     assert_eq!(quarantine.hold(at(700), FATAL).expect("a hold").left, HOLD);
 }
 
 #[test]
-fn the_same_end_counts_once_and_the_next_life_anew() {
+fn each_incarnation_counts_once() {
     let mut quarantine = quarantine();
     for _ in 0..5 {
         quarantine.ended(at(1), FATAL, &Incarnation::new("u1", 100));
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn a_good_run_in_between_clears_it() {
+fn a_completed_run_resets_the_count() {
     let mut quarantine = quarantine();
     quarantine.ended(at(1), HARMLESS, &upstream(1));
     quarantine.ended(at(2), HARMLESS, &upstream(2));
@@ -93,10 +94,10 @@
 }
 
 #[test]
-fn a_good_run_is_heard_of_by_those_who_hold() {
-    let mut seen = holding();
+fn a_completed_run_releases_the_hold_at_other_vms() {
+    let mut seen = holding_quarantine();
     let mut other = seen.clone();
-    // A run that began before the hold came to its end.
+    // A run that started before the hold completes.
     seen.ran_well(at(4), FATAL);
     assert_ne!(seen.checksum(), other.checksum());
     let heard = seen.hear(at(5), &other.told(at(5), 10));
@@ -108,7 +109,7 @@
 }
 
 #[test]
-fn single_ends_come_together_at_those_who_keep_account() {
+fn record_keepers_combine_single_crashes() {
     let mut vms = [quarantine(), quarantine(), quarantine()];
     let mut keeper = quarantine();
     for (n, vm) in vms.iter_mut().enumerate() {
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn switched_off_it_remembers_nothing() {
+fn a_disabled_quarantine_records_nothing() {
     let mut off = Quarantine::new(QuarantineSettings {
         ends: 0,
         hold: HOLD,
@@ -136,8 +137,8 @@
 }
 
 #[test]
-fn what_is_old_is_forgotten() {
-    let mut quarantine = holding();
+fn old_records_expire() {
+    let mut quarantine = holding_quarantine();
     quarantine.expire(at(601));
     assert_eq!(quarantine.len(), 1);
     quarantine.expire(at(604));
@@ -146,21 +147,21 @@
 }
 
 #[test]
-fn what_was_told_before_this_vm_started_counts() {
-    let held = holding();
+fn crashes_before_the_vm_started_count() {
+    let held = holding_quarantine();
     let mut started = quarantine();
-    // Its clock begins with it, long after the ends.
+    // Its clock starts at 0, long after the crashes.
     let heard = started.hear(at(1), &held.told(at(60), 10));
     assert_eq!(heard.held, [FATAL]);
     assert!(started.hold(at(1), FATAL).is_some());
-    // What has long been over is not taken in again.
+    // Records whose hold has expired are ignored.
     let mut late = quarantine();
     assert!(late.hear(at(1), &held.told(at(700), 10)).held.is_empty());
     assert!(late.is_empty());
 }
 
 #[test]
-fn the_order_of_what_was_before_this_vm_started_is_kept() {
+fn events_before_the_vm_started_keep_their_order() {
     let mut seen = quarantine();
     seen.ran_well(at(1), FATAL);
     seen.ended(at(2), FATAL, &upstream(0));
@@ -173,10 +174,10 @@
     assert_eq!(started.hold(at(1), FATAL).expect("a hold").ends, 3);
 }
 
-/// A rack ends with all that it runs, many times over.
+/// Many requests lose an upstream, as when a rack fails with all that it runs.
 #[test]
-fn it_is_bounded_and_keeps_what_has_the_most_ends() {
-    let mut quarantine = holding();
+fn the_table_is_bounded_and_keeps_requests_with_most_crashes() {
+    let mut quarantine = holding_quarantine();
     for request in 100..20_000 {
         quarantine.ended(at(10), request, &upstream(9));
     }
@@ -184,15 +185,15 @@
     assert!(quarantine.hold(at(10), FATAL).is_some());
 }
 
-/// What happens at one of several VMs.
+/// Event at one of several VMs.
 #[derive(Clone, Debug)]
 enum Step {
     Ended(usize, Fingerprint, u64),
     RanWell(usize, Fingerprint),
-    /// One tells another; the word may come twice, and again later.
-    Tells(usize, usize),
-    /// An old word arrives.
-    Again(usize),
+    /// One VM sends its records to another, which receives them twice.
+    Send(usize, usize),
+    /// The first message sent arrives again.
+    Replay(usize),
 }
 
 const VMS: usize = 4;
@@ -201,18 +202,19 @@
     prop_oneof![
         4 => (0..VMS, 1..4u128, 0..12u64).prop_map(|(vm, r, u)| Step::Ended(vm, r, u)),
         1 => (0..VMS, 2..4u128).prop_map(|(vm, r)| Step::RanWell(vm, r)),
-        4 => (0..VMS, 0..VMS).prop_map(|(from, to)| Step::Tells(from, to)),
-        1 => (0..VMS).prop_map(Step::Again),
+        4 => (0..VMS, 0..VMS).prop_map(|(from, to)| Step::Send(from, to)),
+        1 => (0..VMS).prop_map(Step::Replay),
     ]
 }
 
 proptest! {
-    /// Whatever the order, and whatever arrives twice or late: once all have told all,
-    /// they know the same, and what never ran well is held by all if enough ended.
+    /// With messages in any order, duplicated or late, all VMs have the same records after
+    /// a full exchange, and a request that never completed is held by all of them if it
+    /// crashed enough upstreams.
     #[test]
-    fn vms_that_hear_each_other_agree(steps in prop::collection::vec(step(), 1..80)) {
+    fn vms_converge_after_a_full_exchange(steps in prop::collection::vec(step(), 1..80)) {
         let mut vms = vec![quarantine(); VMS];
-        let mut words: Vec<(u64, Vec<Suspect>)> = Vec::new();
+        let mut messages: Vec<(u64, Vec<Suspect>)> = Vec::new();
         let mut ended = std::collections::BTreeSet::new();
         let mut now = 1;
         for step in steps {
@@ -227,14 +229,14 @@
                 Step::RanWell(vm, request) => {
                     vms[vm].ran_well(at(now), request);
                 }
-                Step::Tells(from, to) => {
+                Step::Send(from, to) => {
                     let told = vms[from].told_of(at(now), &[1, 2, 3]);
                     vms[to].hear(at(now), &told);
                     vms[to].hear(at(now), &told);
-                    words.push((now, told));
+                    messages.push((now, told));
                 }
-                Step::Again(to) => {
-                    if let Some((_, told)) = words.first() {
+                Step::Replay(to) => {
+                    if let Some((_, told)) = messages.first() {
                         vms[to].hear(at(now), told);
                     }
                 }
@@ -254,9 +256,9 @@
         }
     }
 
-    /// A request that always runs well in between is never held.
+    /// A request that completes after every second crash is never held.
     #[test]
-    fn what_runs_well_every_third_time_is_never_held(turns in 1..60u64) {
+    fn a_request_that_completes_regularly_is_never_held(turns in 1..60u64) {
         let mut vm = quarantine();
         for n in 0..turns {
             match n % 3 {
--- a/trouttrack_core/tests/core/relocate.rs
+++ b/trouttrack_core/tests/core/relocate.rs
@@ -1,4 +1,4 @@
-//! Where a running generation is moved to.
+//! Choice of the target of a running generation, and the copy schedule of a departing engine.
 
 use crate::support::{placed, spec, submission, world};
 use std::time::Duration;
@@ -13,7 +13,7 @@
     spec(id, failure_domain, capacity_tokens, 8)
 }
 
-/// A request that runs at the only engine of the failure domain `a`.
+/// A request running on the only engine, in failure domain `a`.
 fn running() -> (World, RequestKey) {
     let mut world = world("trouttrack", vec![engine("source", "a", 50_000)]);
     let key = world.submit(NOW, submission("r1", "alpha", 1));
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_own_failure_domain_comes_first_while_there_is_room() {
+fn targets_in_the_same_failure_domain_are_preferred() {
     let (mut world, key) = running();
     let all = |near| {
         vec![
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_moved_request_counts_where_it_went() {
+fn a_moved_request_counts_at_its_target() {
     let (mut world, key) = running();
     world.configure(vec![
         engine("source", "a", 50_000),
@@ -59,7 +59,7 @@
         panic!("{uses:?}");
     };
     assert_eq!((used.upstream.as_str(), used.running), ("other", 1));
-    // The source may be gone by then; the request ends all the same.
+    // The request also ends if the source has been removed in the meantime.
     world.configure(vec![engine("other", "a", 50_000)]);
     world.ended(NOW, key, false, Some(10));
     assert!(world.own_uses(NOW).is_empty());
@@ -69,8 +69,8 @@
     Duration::from_millis(ms)
 }
 
-/// An engine of which a thousand tokens take 100 ms.
-fn link() -> EngineSpec {
+/// An engine whose link copies 1,000 tokens in 100 ms.
+fn engine_spec() -> EngineSpec {
     EngineSpec {
         memory_tokens: 34_000,
         bytes_per_token: 100_000.0,
@@ -81,7 +81,7 @@
     }
 }
 
-/// A departure noticed at one second with the last call at `last_call`.
+/// A departure noticed at 1 s whose final parts are requested by `last_call` ms.
 fn departure(last_call: u64, near_room: f64) -> Departure {
     let mut departure = Departure::noticed(ms(1000));
     departure.leaves_in(ms(1000), ms(1000));
@@ -89,62 +89,63 @@
     departure.leaves_in(ms(1000), ms(last_call) + before_end - ms(1000));
     let held = [("large", 8000), ("small", 2000), ("mid", 4000)];
     let held = held.map(|(id, tokens)| (id.to_owned(), tokens));
-    departure.holds(ms(1000), held.to_vec(), &link(), near_room);
+    departure.holds(ms(1000), held.to_vec(), &engine_spec(), near_room);
     departure
 }
 
 #[test]
-fn before_it_has_said_what_it_holds_everything_is_tried() {
+fn every_copy_fits_before_the_first_report() {
     let departure = Departure::noticed(ms(1000));
     assert!(departure.fits(ms(1000), "any", 9e9));
     assert!(!departure.fits(ms(9000), "any", 1.0));
 }
 
 #[test]
-fn what_the_link_cannot_carry_in_time_is_not_asked_for() {
-    // 200 and 400 ms and a little more.
+fn a_copy_that_takes_too_long_does_not_fit() {
+    // The copies take slightly more than 200 and 400 ms.
     let one = departure(1700, 1e9);
     assert!(one.fits(ms(1000), "small", 2000.0));
     assert!(one.fits(ms(1000), "mid", 4000.0));
     assert!(!one.fits(ms(1000), "large", 8000.0));
-    // One that is not in the report comes last.
+    // A request missing in the report comes last.
     assert!(!one.fits(ms(1000), "new", 100.0));
-    // Its turn has passed and the time with it.
+    // Its turn has passed, and too little time is left.
     assert!(!one.fits(ms(1600), "small", 2000.0));
     let more = departure(3000, 1e9);
     assert!(more.fits(ms(1000), "large", 8000.0));
 }
 
 #[test]
-fn copies_take_turns_so_that_no_last_part_waits_for_the_next_copy() {
+fn copies_are_scheduled_one_after_another() {
     let mut departure = departure(3000, 1e9);
     assert_eq!(departure.begins_at("small"), ms(1000));
-    // The small one takes 200 ms and a little more, and then its last part.
+    // The copy of `small` takes slightly more than 200 ms, followed by its final part, which
+    // must not wait for the next copy.
     let mid = departure.begins_at("mid");
     assert!((ms(1230)..ms(1300)).contains(&mid), "{mid:?}");
     let large = departure.begins_at("large");
     assert!((ms(1660)..ms(1800)).contains(&large), "{large:?}");
-    // A second report changes what is there, not when the turns began.
+    // A second report changes the list of requests, not the start of the schedule.
     let left = vec![("mid".to_owned(), 4000), ("large".to_owned(), 8000)];
-    departure.holds(ms(1600), left, &link(), 1e9);
+    departure.holds(ms(1600), left, &engine_spec(), 1e9);
     assert_eq!(departure.begins_at("mid"), ms(1000));
 }
 
 #[test]
-fn before_it_has_said_what_it_holds_nothing_waits() {
+fn copies_start_at_once_before_the_first_report() {
     assert_eq!(Departure::noticed(ms(1000)).begins_at("any"), ms(1000));
 }
 
 #[test]
-fn without_room_nearby_copies_take_twice_as_long() {
-    // Room for the smallest alone; the next takes 800 ms.
+fn copies_to_another_failure_domain_take_twice_as_long() {
+    // There is room for `small` only, so `mid` takes 800 ms.
     assert!(!departure(1900, 3000.0).fits(ms(1000), "mid", 4000.0));
     assert!(departure(2200, 3000.0).fits(ms(1000), "mid", 4000.0));
     assert!(!departure(1300, 0.0).fits(ms(1000), "small", 2000.0));
 }
 
 #[test]
-fn room_is_that_of_open_engines_of_the_failure_domain() {
+fn room_counts_open_engines_of_the_failure_domain() {
     let (mut world, _) = running();
     world.configure(vec![engine("one", "a", 5000), engine("two", "b", 7000)]);
     assert_eq!(world.room_near(NOW, crate::support::SERVICE, "a"), 5000.0);
--- a/trouttrack_core/tests/core/retry_rule.rs
+++ b/trouttrack_core/tests/core/retry_rule.rs
@@ -1,4 +1,4 @@
-//! The retry table: whole, and true to the promises under any schedule.
+//! The table of retry rules: completeness, and its guarantees under random schedules.
 
 use proptest::prelude::*;
 use std::fmt::Write as _;
@@ -53,96 +53,96 @@
 }
 
 #[test]
-fn what_may_not_be_repeated_is_never_run_again() {
+fn non_repeatable_requests_are_never_run_again() {
     for rule in RULES.iter().filter(|r| r.kind != Kind::Repeatable) {
         assert!(!rule.steps.contains(&Step::RunAgain), "{rule:?}");
     }
 }
 
 #[test]
-fn once_tokens_are_delivered_only_the_same_stream_goes_on() {
+fn delivered_streams_only_resume_or_end() {
     for rule in RULES.iter().filter(|r| r.phase == Phase::Delivered) {
         let other = |s: &Step| !matches!(s, Step::Resume | Step::End(Outcome::Interrupted));
         assert!(!rule.steps.iter().any(other), "{rule:?}");
     }
 }
 
-/// A model of one upstream run, in which faults strike at random. It knows
-/// what really happened, and the machine does not.
+/// What actually happens in one attempt at an upstream. The machine learns only the
+/// failure, if any.
 #[derive(Clone, Copy, Debug)]
-enum Happening {
-    /// A hand-over that never connects, or is refused.
+enum AttemptEvent {
+    /// The attempt does not connect or is refused.
     NeverRan(Failure),
-    /// It runs, `tokens` arrive, then the attempt fails.
+    /// The request runs, `tokens` tokens arrive, then the attempt fails.
     Fails { tokens: u8, failure: Failure },
-    /// The connection is lost before the upstream saw the call.
-    LostOnTheWay,
-    /// It runs to its end.
+    /// The connection is lost before the upstream receives the request.
+    LostBeforeArrival,
+    /// The request runs to completion.
     Completes,
 }
 
-fn happening() -> impl Strategy<Value = Happening> {
+fn attempt_event() -> impl Strategy<Value = AttemptEvent> {
     prop_oneof![
         2 => prop_oneof![Just(Failure::NotConnected), Just(Failure::Refused)]
-            .prop_map(Happening::NeverRan),
+            .prop_map(AttemptEvent::NeverRan),
         4 => (0u8..4, prop_oneof![Just(Failure::Lost), Just(Failure::Aborted)])
-            .prop_map(|(tokens, failure)| Happening::Fails { tokens, failure }),
-        1 => Just(Happening::LostOnTheWay),
-        1 => Just(Happening::Completes),
+            .prop_map(|(tokens, failure)| AttemptEvent::Fails { tokens, failure }),
+        1 => Just(AttemptEvent::LostBeforeArrival),
+        1 => Just(AttemptEvent::Completes),
     ]
 }
 
-/// What really happened to one request.
+/// What actually happened to one request.
 #[derive(Debug, Default)]
-struct Truth {
+struct GroundTruth {
     runs: u32,
-    /// The generation that each delivered token came from.
+    /// Generation of each delivered token.
     delivered: Vec<u32>,
     held: Vec<u32>,
 }
 
-/// A machine's owner that carries out steps; `mistake` plants a fault in it.
+/// Fault injected into the owner of the machine, which carries out the steps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Mistake {
+enum Fault {
     None,
-    /// Runs again what may not be repeated.
-    RunsTwice,
-    /// Goes on with another generation after tokens were delivered.
-    Mixes,
-    /// Says `not-run` whenever no answer came.
+    /// Runs a non-repeatable request again.
+    RunTwice,
+    /// Continues with another generation after tokens were delivered.
+    MixGenerations,
+    /// Reports `not-run` whenever there is no answer.
     FalseNotRun,
-    /// Drops the held tokens of a lost run and says `complete`.
-    Truncates,
-    /// Ends without saying anything.
-    LosesSilently,
+    /// Reports `complete` for an incomplete answer.
+    Truncate,
+    /// Ends without any outcome.
+    NoOutcome,
 }
 
 struct Run {
     outcome: Option<Outcome>,
-    truth: Truth,
+    truth: GroundTruth,
 }
 
 const LENGTH: usize = 4;
 
-fn run(traits: Traits, schedule: &[Happening], resumes: &[bool], mistake: Mistake) -> Run {
-    let mut truth = Truth::default();
+fn run(traits: Traits, schedule: &[AttemptEvent], resumes: &[bool], fault: Fault) -> Run {
+    let mut truth = GroundTruth::default();
     let mut machine = Machine::new(traits, 3);
     let mut resumes = resumes.iter().copied();
     let mut schedule = schedule.iter().copied();
     let outcome = loop {
-        let Some(happening) = schedule.next() else {
+        let Some(attempt_event) = schedule.next() else {
             break Some(machine.give_up());
         };
         machine.handed_over();
-        let (failure, really_ran) = match happening {
-            Happening::NeverRan(failure) => (Some(failure), false),
-            Happening::LostOnTheWay => (Some(Failure::Lost), false),
-            Happening::Fails { tokens, failure } => {
+        let (failure, actually_ran) = match attempt_event {
+            AttemptEvent::NeverRan(failure) => (Some(failure), false),
+            AttemptEvent::LostBeforeArrival => (Some(Failure::Lost), false),
+            AttemptEvent::Fails { tokens, failure } => {
                 truth.runs += 1;
                 take(&mut machine, &mut truth, traits, usize::from(tokens));
                 (Some(failure), true)
             }
-            Happening::Completes => {
+            AttemptEvent::Completes => {
                 truth.runs += 1;
                 (None, true)
             }
@@ -155,13 +155,13 @@
             match result {
                 StepResult::Ended(outcome) => break Some(Some(outcome)),
                 StepResult::Try(Step::Resume) => {
-                    if really_ran && resumes.next().unwrap_or(false) {
+                    if actually_ran && resumes.next().unwrap_or(false) {
                         break Some(Some(complete(&mut machine, &mut truth, traits)));
                     }
                     result = machine.step_failed();
                 }
                 StepResult::Try(Step::FenceThenElsewhere) => {
-                    result = if really_ran {
+                    result = if actually_ran {
                         machine.step_failed()
                     } else {
                         machine.fenced()
@@ -174,31 +174,31 @@
                 StepResult::Try(Step::Elsewhere | Step::End(_)) => break None,
             }
         };
-        let end = match (mistake, end) {
-            (Mistake::RunsTwice, Some(Some(Outcome::Unknown))) => None,
-            (Mistake::Mixes, Some(Some(Outcome::Interrupted))) => {
+        let end = match (fault, end) {
+            (Fault::RunTwice, Some(Some(Outcome::Unknown))) => None,
+            (Fault::MixGenerations, Some(Some(Outcome::Interrupted))) => {
                 truth.runs += 1;
                 truth.delivered.push(truth.runs);
                 Some(Some(Outcome::Interrupted))
             }
-            (Mistake::FalseNotRun, Some(Some(Outcome::Unknown))) => Some(Some(Outcome::NotRun)),
-            (Mistake::Truncates, Some(Some(Outcome::Unknown | Outcome::Interrupted))) => {
+            (Fault::FalseNotRun, Some(Some(Outcome::Unknown))) => Some(Some(Outcome::NotRun)),
+            (Fault::Truncate, Some(Some(Outcome::Unknown | Outcome::Interrupted))) => {
                 Some(Some(Outcome::Complete))
             }
-            (Mistake::LosesSilently, Some(Some(Outcome::Unknown))) => Some(None),
+            (Fault::NoOutcome, Some(Some(Outcome::Unknown))) => Some(None),
             (_, end) => end,
         };
         if let Some(outcome) = end {
             break outcome;
         }
-        if mistake == Mistake::RunsTwice && machine.outcome().is_some() {
+        if fault == Fault::RunTwice && machine.outcome().is_some() {
             machine = Machine::new(traits, 3);
         }
     };
     Run { outcome, truth }
 }
 
-fn take(machine: &mut Machine, truth: &mut Truth, traits: Traits, tokens: usize) {
+fn take(machine: &mut Machine, truth: &mut GroundTruth, traits: Traits, tokens: usize) {
     for _ in 0..tokens {
         machine.token();
         match traits.delivery {
@@ -208,33 +208,35 @@
     }
 }
 
-fn complete(machine: &mut Machine, truth: &mut Truth, traits: Traits) -> Outcome {
+fn complete(machine: &mut Machine, truth: &mut GroundTruth, traits: Traits) -> Outcome {
     let have = truth.delivered.len().max(truth.held.len());
     take(machine, truth, traits, LENGTH.saturating_sub(have));
     truth.delivered.append(&mut truth.held);
     machine.complete()
 }
 
-/// The first promise that was broken, if one was.
-fn broken(traits: Traits, run: &Run) -> Option<&'static str> {
+/// The first violated guarantee, if any.
+fn violation(traits: Traits, run: &Run) -> Option<&'static str> {
     let Some(outcome) = run.outcome else {
-        return Some("a request was lost silently");
+        return Some("request ended without an outcome");
     };
     let truth = &run.truth;
     if truth.delivered.windows(2).any(|w| w[0] != w[1]) {
-        return Some("tokens of two generations were delivered");
+        return Some("tokens of two generations delivered");
     }
     if !traits.repeatable && truth.runs > 1 {
-        return Some("what may not be repeated ran twice");
+        return Some("non-repeatable request ran twice");
     }
     match outcome {
-        Outcome::Complete if truth.delivered.len() != LENGTH => Some("a part was called complete"),
-        Outcome::NotRun if truth.runs > 0 => Some("not-run was said of what ran"),
+        Outcome::Complete if truth.delivered.len() != LENGTH => {
+            Some("incomplete answer reported as complete")
+        }
+        Outcome::NotRun if truth.runs > 0 => Some("request that ran reported as not-run"),
         Outcome::Interrupted if truth.delivered.is_empty() => {
-            Some("interrupted was said though nothing was delivered")
+            Some("interrupted reported without delivered tokens")
         }
         Outcome::Unknown | Outcome::NotRun if !truth.delivered.is_empty() => {
-            Some("tokens were delivered and it was not said")
+            Some("delivered tokens not reported")
         }
         _ => None,
     }
@@ -254,7 +256,7 @@
     })
 }
 
-/// Cases of one property: fixed in CI, many in the long mode.
+/// Configuration of the property tests: a fixed seed, and more cases in long mode.
 fn config() -> ProptestConfig {
     let long = std::env::var_os("TROUTTRACK_LONG").is_some();
     ProptestConfig {
@@ -269,40 +271,40 @@
     #![proptest_config(config())]
 
     #[test]
-    fn promises_hold_under_any_schedule(
+    fn guarantees_hold_under_any_schedule(
         traits in traits(),
-        schedule in prop::collection::vec(happening(), 0..6),
+        schedule in prop::collection::vec(attempt_event(), 0..6),
         resumes in prop::collection::vec(any::<bool>(), 0..6),
     ) {
-        let run = run(traits, &schedule, &resumes, Mistake::None);
-        prop_assert_eq!(broken(traits, &run), None, "{:?}", run.truth);
+        let run = run(traits, &schedule, &resumes, Fault::None);
+        prop_assert_eq!(violation(traits, &run), None, "{:?}", run.truth);
     }
 }
 
-/// The checker itself is checked: each planted mistake must be found.
+/// Verifies the check itself: it must detect each injected fault.
 #[test]
-fn planted_mistakes_are_found() {
+fn injected_faults_are_detected() {
     use proptest::strategy::ValueTree;
     use proptest::test_runner::TestRunner;
     let expected = [
-        (Mistake::RunsTwice, "what may not be repeated ran twice"),
-        (Mistake::Mixes, "tokens of two generations were delivered"),
-        (Mistake::FalseNotRun, "not-run was said of what ran"),
-        (Mistake::Truncates, "a part was called complete"),
-        (Mistake::LosesSilently, "a request was lost silently"),
+        (Fault::RunTwice, "non-repeatable request ran twice"),
+        (Fault::MixGenerations, "tokens of two generations delivered"),
+        (Fault::FalseNotRun, "request that ran reported as not-run"),
+        (Fault::Truncate, "incomplete answer reported as complete"),
+        (Fault::NoOutcome, "request ended without an outcome"),
     ];
-    for (mistake, promise) in expected {
+    for (fault, guarantee) in expected {
         let mut runner = TestRunner::new(config());
         let input = (
             traits(),
-            prop::collection::vec(happening(), 0..6),
+            prop::collection::vec(attempt_event(), 0..6),
             prop::collection::vec(any::<bool>(), 0..6),
         );
         let found = (0..4000).any(|_| {
             let (traits, schedule, resumes) = input.new_tree(&mut runner).unwrap().current();
-            let run = run(traits, &schedule, &resumes, mistake);
-            broken(traits, &run) == Some(promise)
+            let run = run(traits, &schedule, &resumes, fault);
+            violation(traits, &run) == Some(guarantee)
         });
-        assert!(found, "{mistake:?} was not found");
+        assert!(found, "{fault:?} was not detected");
     }
 }
--- a/trouttrack_core/tests/core/support.rs
+++ b/trouttrack_core/tests/core/support.rs
@@ -1,4 +1,4 @@
-//! A small world.
+//! Builders of a small [`World`] for the tests.
 
 use std::time::Duration;
 use trouttrack_core::length::LengthKey;
--- a/trouttrack_core/tests/core/world.rs
+++ b/trouttrack_core/tests/core/world.rs
@@ -1,4 +1,4 @@
-//! The systems over the tables.
+//! Placement, refusal and queueing by [`World`].
 
 use crate::support::{placed, report, settings, spec, submission, world};
 use proptest::prelude::*;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_upstream_that_has_just_started_gets_work_when_it_is_warm() {
+fn a_starting_upstream_gets_work_once_warm() {
     let warm = spec("a-warm", "a", 10_000, 8);
     let mut cold = spec("b-cold", "a", 10_000, 8);
     cold.warm_at = 5 * SECOND;
@@ -36,7 +36,7 @@
         world.ended(now, request, false, None);
         placed[0].1.clone()
     };
-    // Far enough apart for each prompt to be loaded before the next.
+    // The interval is long enough for each prompt to be loaded before the next request.
     let times = |from: Duration| (0..40).map(move |n| from + n * SECOND / 20);
     for now in times(SECOND) {
         assert_eq!(placed_at(now), "a-warm");
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn work_spills_over_when_its_own_failure_domain_is_full() {
+fn requests_overflow_to_another_failure_domain_when_their_own_is_full() {
     let specs = vec![spec("far", "b", 10_000, 8), spec("near", "a", 10_000, 8)];
     let mut world = world("trouttrack", specs);
     for i in 0..16 {
@@ -58,10 +58,10 @@
 }
 
 #[test]
-fn memory_is_kept_for_growth_and_for_the_urgent() {
+fn memory_is_reserved_for_growth_and_urgent_requests() {
     let mut world = world("trouttrack", vec![spec("e", "a", 4_000, 64)]);
-    // Each is forecast at 100 of prompt and 256 of unknown output, and leaves
-    // half of the reserve of a fifth, because it grows half of the look-ahead.
+    // Each request is forecast at 100 prompt tokens and 256 output tokens. As it grows by
+    // half of the look-ahead, it leaves half of the reserve of a fifth free.
     for i in 0..20 {
         world.submit(SECOND, submission(&format!("low{i}"), "o", 2));
     }
@@ -74,12 +74,12 @@
     assert_eq!(
         placed(&world.tick(SECOND)).len(),
         1,
-        "the reserve is for the urgent"
+        "an urgent request may use the reserve"
     );
 }
 
 #[test]
-fn baselines_fill_an_engine_without_looking_at_its_memory() {
+fn baseline_policies_ignore_memory() {
     let mut world = world("two-choices", vec![spec("e", "a", 4_000, 64)]);
     for i in 0..20 {
         world.submit(SECOND, submission(&format!("r{i}"), "o", 2));
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_request_that_cannot_be_placed_is_refused_at_its_deadline_and_not_before() {
+fn an_unplaced_request_is_refused_at_its_deadline_and_not_before() {
     let mut world = world("trouttrack", vec![spec("e", "a", 4_000, 1)]);
     world.submit(SECOND, submission("first", "o", 1));
     let mut second = submission("second", "o", 1);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_full_queue_refuses_at_once_and_says_when_to_come_back() {
+fn a_full_queue_refuses_at_once_with_a_retry_delay() {
     let mut small = settings("trouttrack");
     small.max_queued = 2;
     let mut world = World::new(small);
@@ -119,14 +119,14 @@
 }
 
 #[test]
-fn no_upstream_for_a_service_is_said_at_once() {
+fn a_service_without_upstreams_is_refused_at_once() {
     let mut world = world("trouttrack", vec![]);
     world.submit(SECOND, submission("r", "o", 1));
     assert_eq!(refusals(&world.tick(SECOND)), [NotRunReason::NoUpstream]);
 }
 
 #[test]
-fn an_organisation_at_its_limit_does_not_hold_up_others() {
+fn an_organisation_at_its_limit_does_not_block_others() {
     let mut world = world("trouttrack", vec![spec("e", "a", 40_000, 64)]);
     for i in 0..4 {
         let mut s = submission(&format!("r{i}"), "limited", 1);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_leaving_upstream_gets_nothing_and_a_failing_one_is_paused() {
+fn leaving_and_failing_upstreams_get_no_work() {
     let specs = vec![spec("e1", "a", 10_000, 8), spec("e2", "a", 10_000, 8)];
     let mut world = world("trouttrack", specs);
     world.set_leaving("e1", true);
@@ -151,18 +151,18 @@
         assert_eq!(placed(&world.tick(SECOND))[0].1, "e2");
         world.ended(SECOND, key, true, None);
     }
-    // Five failures in a row opened the circuit of the only one left.
+    // Five failures in a row have opened the circuit of the only remaining upstream.
     world.submit(SECOND, submission("waits", "o", 1));
     assert!(placed(&world.tick(SECOND)).is_empty());
     assert_eq!(
         placed(&world.tick(SECOND * 3)).len(),
         1,
-        "a trial after the pause"
+        "one trial request after the pause"
     );
 }
 
 #[test]
-fn a_lagging_report_does_not_hide_own_hand_overs() {
+fn requests_sent_after_a_report_are_counted() {
     let specs = vec![spec("e1", "a", 100_000, 64), spec("e2", "a", 100_000, 64)];
     let mut world = world("least-outstanding", specs);
     world.report("e1", report(Duration::ZERO, 0, 0));
@@ -174,7 +174,7 @@
     let e1 = placed.iter().filter(|(_, u)| u == "e1").count();
     assert!(
         (5..=6).contains(&e1),
-        "{e1} of 8 went to the one that was idle"
+        "{e1} of 8 requests were placed on the idle upstream"
     );
 }
 
@@ -190,15 +190,15 @@
     world.tick(SECOND);
     assert!(
         world.explanations.of("r0").is_empty(),
-        "the oldest is forgotten"
+        "the oldest explanation is dropped"
     );
     let kept = world.explanations.of("r4999");
     assert_eq!(kept[0].chosen.as_deref(), Some("e"));
     assert_eq!(kept[0].candidates.len(), 1);
 }
 
-/// Weighted shares: with both always waiting, an organisation of weight three
-/// is served three times as often.
+/// With requests of both organisations always waiting, one of weight three is served three
+/// times as often as one of weight one.
 #[test]
 fn organisations_share_by_weight() {
     let mut world = world("trouttrack", vec![spec("e", "a", 1_000_000, 1)]);
@@ -216,11 +216,13 @@
         heavy += usize::from(row.submission.organisation == "heavy");
         world.ended(SECOND, key, false, None);
     }
-    assert!((70..=80).contains(&heavy), "{heavy} of 100");
+    assert!(
+        (70..=80).contains(&heavy),
+        "{heavy} of 100 requests were of the organisation of weight three"
+    );
 }
 
-/// A flood of more urgent requests than can be served holds up the lowest
-/// class for `max_wait` and no longer.
+/// Urgent requests beyond the capacity delay the lowest class by at most `max_wait`.
 #[test]
 fn no_class_starves() {
     let mut world = world("trouttrack", vec![spec("e", "a", 1_000_000, 1)]);
@@ -244,7 +246,7 @@
 }
 
 #[derive(Clone, Debug)]
-enum Act {
+enum Event {
     Submit {
         organisation: u8,
         priority: u8,
@@ -264,13 +266,13 @@
     Wait,
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        4 => (0u8..4, 0u8..4).prop_map(|(organisation, priority)| Act::Submit { organisation, priority }),
-        3 => (any::<prop::sample::Index>(), any::<bool>()).prop_map(|(which, fault)| Act::End { which, fault }),
-        1 => (0u8..3, 0u8..8).prop_map(|(upstream, running)| Act::Report { upstream, running }),
-        1 => (0u8..3, any::<bool>()).prop_map(|(upstream, leaving)| Act::Leave { upstream, leaving }),
-        2 => Just(Act::Wait),
+        4 => (0u8..4, 0u8..4).prop_map(|(organisation, priority)| Event::Submit { organisation, priority }),
+        3 => (any::<prop::sample::Index>(), any::<bool>()).prop_map(|(which, fault)| Event::End { which, fault }),
+        1 => (0u8..3, 0u8..8).prop_map(|(upstream, running)| Event::Report { upstream, running }),
+        1 => (0u8..3, any::<bool>()).prop_map(|(upstream, leaving)| Event::Leave { upstream, leaving }),
+        2 => Just(Event::Wait),
     ]
 }
 
@@ -281,34 +283,34 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever happens, each request is decided on once, and counts come
-    /// back to nothing.
+    /// Under any sequence of events each request is decided on exactly once, and all
+    /// counters return to zero.
     #[test]
-    fn every_request_is_decided_once(acts in prop::collection::vec(act(), 1..120)) {
+    fn every_request_is_decided_once(events in prop::collection::vec(event(), 1..120)) {
         let specs = (0..3).map(|i| spec(&format!("e{i}"), "a", 3_000, 4)).collect();
         let mut world = world("trouttrack", specs);
         let mut now = SECOND;
         let (mut submitted, mut refused) = (0, 0);
         let mut running = Vec::new();
-        for act in acts {
-            match act {
-                Act::Submit { organisation, priority } => {
+        for event in events {
+            match event {
+                Event::Submit { organisation, priority } => {
                     let mut s = submission(&format!("r{submitted}"), &format!("o{organisation}"), priority);
                     s.deadline = now + SECOND * 20;
                     world.submit(now, s);
                     submitted += 1;
                 }
-                Act::End { which, fault } if !running.is_empty() => {
+                Event::End { which, fault } if !running.is_empty() => {
                     let key = running.swap_remove(which.index(running.len()));
                     world.ended(now, key, fault, Some(50));
                 }
-                Act::End { .. } => {}
-                Act::Report { upstream, running } => {
+                Event::End { .. } => {}
+                Event::Report { upstream, running } => {
                     let name = format!("e{upstream}");
                     world.report(&name, report(now, usize::from(running), 0));
                 }
-                Act::Leave { upstream, leaving } => world.set_leaving(&format!("e{upstream}"), leaving),
-                Act::Wait => now += SECOND,
+                Event::Leave { upstream, leaving } => world.set_leaving(&format!("e{upstream}"), leaving),
+                Event::Wait => now += SECOND,
             }
             for d in world.tick(now) {
                 match d {
@@ -336,14 +338,14 @@
 }
 
 #[test]
-fn an_engine_that_loads_peers_prompts_is_left_alone_until_they_are_loaded() {
+fn an_engine_loading_prompts_of_peers_is_avoided_until_they_are_loaded() {
     let specs = || vec![spec("e1", "a", 50_000, 8), spec("e2", "a", 50_000, 8)];
     let placed_after = |loaded_for: Duration| {
         let mut idle = world("trouttrack", specs());
         idle.submit(Duration::ZERO, submission("r1", "alpha", 1));
         let first = placed(&idle.tick(Duration::ZERO))[0].1.clone();
         let mut world = world("trouttrack", specs());
-        // A peer has just given 9,000 tokens to the one that would be chosen.
+        // A peer has just sent 9,000 prompt tokens to the engine that would be chosen.
         let uses = [UpstreamUse {
             upstream: first.clone(),
             running: 0,
@@ -365,7 +367,7 @@
 }
 
 #[test]
-fn what_no_upstream_will_take_in_time_is_refused_at_once_with_the_time_to_come_back() {
+fn a_request_without_a_reachable_upstream_before_its_deadline_is_refused_at_once() {
     let ms = Duration::from_millis;
     let mut world = world("trouttrack", vec![spec("e", "a", 10_000, 8)]);
     let submit = |world: &mut World, deadline: Duration| {
@@ -373,12 +375,12 @@
         wanted.deadline = deadline;
         world.submit(SECOND, wanted)
     };
-    // Nobody is there: its circuit opens for half a second.
+    // The upstream is unreachable, which opens its circuit for half a second.
     let lost = submit(&mut world, 2 * SECOND);
     world.tick(SECOND);
     world.unreachable(SECOND, lost);
-    let hasty = submit(&mut world, SECOND + ms(90));
-    let patient = submit(&mut world, SECOND + ms(900));
+    let short_deadline = submit(&mut world, SECOND + ms(90));
+    let long_deadline = submit(&mut world, SECOND + ms(900));
     let decisions = world.tick(SECOND);
     let [
         Decision::Refuse {
@@ -390,46 +392,52 @@
     else {
         panic!("{decisions:?}");
     };
-    assert_eq!((*request, *reason), (hasty, NotRunReason::Unreachable));
+    assert_eq!(
+        (*request, *reason),
+        (short_deadline, NotRunReason::Unreachable)
+    );
     assert_eq!(*retry_after, ms(500));
-    // The other one is placed when the circuit lets a trial through.
+    // The other request is placed when the circuit admits a trial request.
     world.ended(SECOND + ms(400), lost, false, None);
-    assert_eq!(placed(&world.tick(SECOND + ms(600)))[0].0, patient);
+    assert_eq!(placed(&world.tick(SECOND + ms(600)))[0].0, long_deadline);
 }
 
 #[test]
-fn with_every_upstream_leaving_nothing_waits() {
+fn requests_are_refused_at_once_if_every_upstream_is_leaving() {
     let mut world = world("trouttrack", vec![spec("e", "a", 10_000, 8)]);
     world.set_leaving("e", true);
     world.submit(SECOND, submission("r", "o", 1));
     assert_eq!(refusals(&world.tick(SECOND)), [NotRunReason::Unreachable]);
 }
 
-/// A caller that leaves before any answer has learned nothing of the upstream: that is no
-/// good end that clears its failures.
+/// A caller that disconnects before any answer gives no information about the upstream, so
+/// this must not reset its failure count as a success would.
 #[test]
-fn an_end_without_news_clears_nothing() {
+fn a_disconnected_caller_does_not_reset_the_failure_count() {
     let mut world = world("trouttrack", vec![spec("e1", "a", 0, 8)]);
-    let failing = |world: &mut World, fault, tokens| {
+    let run_one = |world: &mut World, fault, tokens| {
         let key = world.submit(SECOND, submission("r", "o", 1));
         world.tick(SECOND);
         world.ended(SECOND, key, fault, tokens);
     };
     for _ in 0..4 {
-        failing(&mut world, true, None);
+        run_one(&mut world, true, None);
     }
-    failing(&mut world, false, None);
-    failing(&mut world, true, None);
+    run_one(&mut world, false, None);
+    run_one(&mut world, true, None);
     let open = |world: &World| {
         let row = world.upstreams.get_by_id("e1").expect("a row");
         row.open(SECOND)
     };
-    assert!(!open(&world), "five in a row, and an end without news");
+    assert!(
+        !open(&world),
+        "five failures in a row, with a disconnected caller in between"
+    );
     let mut other = crate::support::world("trouttrack", vec![spec("e1", "a", 0, 8)]);
     for _ in 0..4 {
-        failing(&mut other, true, None);
+        run_one(&mut other, true, None);
     }
-    failing(&mut other, false, Some(3));
-    failing(&mut other, true, None);
-    assert!(open(&other), "a whole answer clears them");
+    run_one(&mut other, false, Some(3));
+    run_one(&mut other, true, None);
+    assert!(open(&other), "a complete answer resets the failure count");
 }
