--- a/trouttrack_front/src/app/mod.rs
+++ b/trouttrack_front/src/app/mod.rs
@@ -1,4 +1,4 @@
-//! Putting the parts together, and stopping them in order.
+//! Startup, settings reload and graceful shutdown of a front.
 
 mod error;
 mod reload;
@@ -7,4 +7,4 @@
 
 pub use error::AppError;
 pub use start::{Running, run, start};
-pub use stop::planned as stop;
+pub use stop::graceful_stop as stop;
--- a/trouttrack_front/src/app/reload.rs
+++ b/trouttrack_front/src/app/reload.rs
@@ -1,4 +1,4 @@
-//! Reading the settings again.
+//! Reload of the settings file.
 
 use crate::state::Front;
 use std::fs;
@@ -9,24 +9,24 @@
 use trouttrack_config::settings::{FrontSettings, load};
 use trouttrack_telemetry::{events, record};
 
-/// How often the file is looked at: it may change without a signal.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
+/// Interval at which the file's modification time is checked: it may change without a SIGHUP.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Follows the settings file for as long as the process runs.
+/// Reloads the settings file on SIGHUP or modification for as long as the process runs.
 pub(super) async fn follow(front: Rc<Front>, file: PathBuf) {
     let mut hangup = match signal(SignalKind::hangup()) {
         Ok(hangup) => hangup,
         Err(e) => {
-            log::error!("SIGHUP cannot be waited for: {e}");
+            log::error!("cannot install the SIGHUP handler; settings will not be reloaded: {e}");
             return;
         }
     };
-    let mut seen = modified(&file);
+    let mut last_modified = modified(&file);
     loop {
-        let told = wait(&mut hangup).await;
-        let now = modified(&file);
-        if told || now != seen {
-            seen = now;
+        let signalled = wait(&mut hangup).await;
+        let current = modified(&file);
+        if signalled || current != last_modified {
+            last_modified = current;
             reload(&front, &file);
         }
     }
@@ -35,7 +35,7 @@
 async fn wait(hangup: &mut Signal) -> bool {
     tokio::select! {
         _ = hangup.recv() => true,
-        () = tokio::time::sleep(LOOK_EVERY) => false,
+        () = tokio::time::sleep(POLL_INTERVAL) => false,
     }
 }
 
@@ -43,8 +43,7 @@
     fs::metadata(file).and_then(|m| m.modified()).ok()
 }
 
-/// Puts changed bounds on removed keys in force. Everything else stays as it
-/// was at the start.
+/// Applies changed revocation bounds. All other settings stay as they were at startup.
 fn reload(front: &Front, file: &Path) {
     match load::<FrontSettings>(file) {
         Ok(settings) => {
--- a/trouttrack_front/src/app/start.rs
+++ b/trouttrack_front/src/app/start.rs
@@ -1,4 +1,4 @@
-//! Starting.
+//! Startup.
 
 use super::error::AppError;
 use super::{reload, stop};
@@ -20,20 +20,21 @@
 use trouttrack_telemetry::logs::LinesDropped;
 use trouttrack_telemetry::program::told_to_stop;
 
-/// How often the count of dropped log lines is taken over into the metrics.
-const COUNT_DROPPED_EVERY: Duration = Duration::from_secs(1);
-/// News that wait to be told; beyond it the other VMs ask the store.
-const NEWS_WAITING: usize = 64;
+/// Interval at which the number of dropped log lines is copied to the metrics.
+const DROPPED_LINES_INTERVAL: Duration = Duration::from_secs(1);
+/// Capacity of the queue of updates for peers. Updates that do not fit are dropped, and the
+/// other VMs read them from the store.
+const NEWS_CAPACITY: usize = 64;
 
-/// Ports of the system's choice that are tried.
-const PORTS_TRIED: usize = 16;
+/// Limit on bind attempts with ports chosen by the system.
+const MAX_BIND_ATTEMPTS: usize = 16;
 
-/// A front that serves.
+/// A running front.
 #[derive(Debug)]
 pub struct Running {
-    /// Its parts.
+    /// Shared state of the front.
     pub front: Rc<Front>,
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
 }
 
@@ -41,9 +42,9 @@
 ///
 /// # Errors
 ///
-/// A port cannot be had.
+/// A listening socket cannot be opened.
 pub async fn start(settings: &FrontSettings) -> Result<Running, AppError> {
-    let (news_tx, news) = mpsc::channel(NEWS_WAITING);
+    let (news_tx, news) = mpsc::channel(NEWS_CAPACITY);
     let front = Front::new(settings, news_tx);
     let ports = settings.front.clone();
     let bound = bind_peers(ports.peers).await;
@@ -51,7 +52,7 @@
     let own = socket.local_addr()?;
     front.peers.set_socket(&socket);
     if front.peer_addr.set(own).is_err() {
-        log::error!("the own address was set before");
+        log::error!("the peer address was already set");
     }
     follow::start(&front, own);
     let scheduler = Rc::clone(&front.scheduler);
@@ -62,7 +63,7 @@
     let server = server.map_err(|e| AppError::Listen(ports.listen, e))?;
     let callers = server.local_addr()?;
     actix_rt::spawn(server.run());
-    start_pages(&front, &ports);
+    start_http_endpoints(&front, &ports);
     events::STARTED.log(format_args!(
         "program=trouttrack_front vm={} failure_domain={} callers={callers} peers={own}",
         settings.vm.name, settings.vm.failure_domain
@@ -70,21 +71,22 @@
     Ok(Running { front, callers })
 }
 
-/// The peers' port, for datagrams and for what is too large for them. Where the system
-/// chooses the port, one that another process listens at is left for another.
+/// Binds a UDP socket and a TCP listener on the same port for peers; TCP carries what is too
+/// large for a datagram. If the system chooses the port and another process already listens
+/// on it with TCP, tries another port.
 async fn bind_peers(addr: SocketAddr) -> io::Result<(Rc<UdpSocket>, TcpListener)> {
-    let mut tries = 1;
+    let mut attempts = 1;
     loop {
         let socket = UdpSocket::bind(addr).await?;
         match listen(socket.local_addr()?) {
             Ok(listener) => return Ok((Rc::new(socket), listener)),
-            Err(_) if addr.port() == 0 && tries < PORTS_TRIED => tries += 1,
+            Err(_) if addr.port() == 0 && attempts < MAX_BIND_ATTEMPTS => attempts += 1,
             Err(e) => return Err(e),
         }
     }
 }
 
-/// Tells the other VMs, and hears them.
+/// Starts the tasks that exchange state with peers.
 fn start_peers(
     front: &Rc<Front>,
     socket: Rc<UdpSocket>,
@@ -94,31 +96,31 @@
     let serving = peers::serve(Rc::clone(front), listener);
     actix_rt::spawn(async move {
         if let Err(e) = serving.await {
-            log::error!("peers that start cannot be answered: {e}");
+            log::error!("cannot serve state to peers that start: {e}");
         }
     });
     actix_rt::spawn(peers::send(Rc::clone(front), Rc::clone(&socket)));
     actix_rt::spawn(peers::keep_confirmed(Rc::clone(front), Rc::clone(&socket)));
     actix_rt::spawn(peers::tell(Rc::clone(front), Rc::clone(&socket), news));
-    let hearing = peers::listen(Rc::clone(front), socket);
+    let listening = peers::listen(Rc::clone(front), socket);
     actix_rt::spawn(async move {
-        if let Err(e) = hearing.await {
-            log::error!("heartbeats cannot be heard: {e}");
+        if let Err(e) = listening.await {
+            log::error!("cannot receive heartbeats: {e}");
         }
     });
 }
 
-/// Serves readiness and metrics.
-fn start_pages(front: &Rc<Front>, ports: &ListenSettings) {
-    let pages = serve_readiness_and_metrics(Rc::clone(front), ports.ready, ports.metrics);
+/// Starts the readiness and metrics endpoints.
+fn start_http_endpoints(front: &Rc<Front>, ports: &ListenSettings) {
+    let endpoints = serve_readiness_and_metrics(Rc::clone(front), ports.ready, ports.metrics);
     actix_rt::spawn(async move {
-        if let Err(e) = pages.await {
-            log::error!("readiness and metrics cannot be served: {e}");
+        if let Err(e) = endpoints.await {
+            log::error!("cannot serve readiness and metrics: {e}");
         }
     });
 }
 
-/// Runs a front until it is told to stop by SIGTERM or SIGINT.
+/// Runs a front until SIGTERM or SIGINT, then shuts it down gracefully.
 ///
 /// # Errors
 ///
@@ -131,17 +133,17 @@
     let running = start(&settings).await?;
     let front = Rc::clone(&running.front);
     actix_rt::spawn(reload::follow(Rc::clone(&front), file));
-    actix_rt::spawn(count_dropped(Rc::clone(&front), dropped));
+    actix_rt::spawn(export_dropped_lines(Rc::clone(&front), dropped));
     told_to_stop().await?;
-    stop::planned(&front, settings.bounds.grace).await;
+    stop::graceful_stop(&front, settings.bounds.grace).await;
     events::STOPPED.log(format_args!("program=trouttrack_front"));
     Ok(())
 }
 
-/// Takes the count of dropped log lines over into the metrics.
-async fn count_dropped(front: Rc<Front>, dropped: LinesDropped) {
+/// Copies the number of dropped log lines to the metrics periodically.
+async fn export_dropped_lines(front: Rc<Front>, dropped: LinesDropped) {
     loop {
-        tokio::time::sleep(COUNT_DROPPED_EVERY).await;
+        tokio::time::sleep(DROPPED_LINES_INTERVAL).await;
         front.metrics.log_lines_dropped.set(dropped.get() as i64);
     }
 }
--- a/trouttrack_front/src/app/stop.rs
+++ b/trouttrack_front/src/app/stop.rs
@@ -1,41 +1,44 @@
-//! The planned stop.
+//! Graceful shutdown.
 
 use crate::state::Front;
 use std::time::Duration;
 use trouttrack_telemetry::{events, record};
 
-/// The balancer asks every second and takes a VM out after two misses; until
-/// then callers are still sent.
-const BALANCER_NOTICES: Duration = Duration::from_millis(3200);
-/// Left of the time that the platform grants, for ending the process.
-const TO_EXIT: Duration = Duration::from_millis(500);
-/// Pause after the last request, for its answer to leave.
-const FLUSH: Duration = Duration::from_millis(150);
+/// The load balancer checks readiness every second and removes a VM after two failed checks;
+/// until then it still routes callers here.
+const LOAD_BALANCER_DELAY: Duration = Duration::from_millis(3200);
+/// Part of the grace period reserved for exiting the process.
+const EXIT_RESERVE: Duration = Duration::from_millis(500);
+/// Pause after the last request, so that its answer is sent.
+const FLUSH_DELAY: Duration = Duration::from_millis(150);
 
-/// Stops as planned: takes the VM out, waits for requests in progress, and
+/// Shuts down gracefully: reports the VM as not ready, waits for requests in progress, and
 /// returns when the process may end.
-pub async fn planned(front: &Front, grace: Duration) {
+pub async fn graceful_stop(front: &Front, grace: Duration) {
     let began = front.clock.now();
-    let ends_at = began + grace.saturating_sub(TO_EXIT);
+    let ends_at = began + grace.saturating_sub(EXIT_RESERVE);
     front.lifecycle.stop(began, ends_at);
     record!(
         events::STOPPING,
         in_flight = front.lifecycle.in_flight(),
         grace_ms = grace.as_millis() as u64,
     );
-    let last = front.clock.instant(ends_at);
-    let noticed = front.clock.instant(began + BALANCER_NOTICES).min(last);
-    tokio::time::sleep_until(noticed).await;
+    let deadline = front.clock.instant(ends_at);
+    let removed_from_balancer = front
+        .clock
+        .instant(began + LOAD_BALANCER_DELAY)
+        .min(deadline);
+    tokio::time::sleep_until(removed_from_balancer).await;
     let drained = async {
         while front.lifecycle.in_flight() > 0 {
             front.lifecycle.request_ended().await;
         }
     };
-    if tokio::time::timeout_at(last, drained).await.is_err() {
+    if tokio::time::timeout_at(deadline, drained).await.is_err() {
         record!(events::DRAIN_BOUND, in_flight = front.lifecycle.in_flight(),);
     }
-    // What still comes while the last answers leave is refused as not run.
+    // Requests that arrive while the last answers are sent are refused as not run.
     let now = front.clock.now();
     front.lifecycle.stop(now, now);
-    tokio::time::sleep(FLUSH).await;
+    tokio::time::sleep(FLUSH_DELAY).await;
 }
--- a/trouttrack_front/src/args.rs
+++ b/trouttrack_front/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use std::path::PathBuf;
 
--- a/trouttrack_front/src/lib.rs
+++ b/trouttrack_front/src/lib.rs
@@ -1,21 +1,20 @@
 //! The front: the request path on the users' platform.
 //!
-//! A process has one thread and everything on it. A request's way through the
-//! folders, top to bottom:
+//! A process runs all tasks on a single thread. A request passes through these modules:
 //!
-//! - `caller` takes it from the socket, finds its route and organisation,
-//!   and writes its answer.
-//! - [`request`] drives it through its attempts: a plain call or a stream.
-//! - `rescue` moves a running generation away from an engine that leaves.
+//! - `caller` reads it from the socket, resolves its route and organisation, and writes the
+//!   answer.
+//! - [`request`] runs its attempts, as a plain call or a stream.
+//! - `rescue` moves a running generation away from an engine that is leaving.
 //!
-//! Beside it:
+//! The other modules:
 //!
-//! - [`state`] holds what the request path decides by, a type a concern.
-//! - `follow` keeps that current from the platform's store.
-//! - [`peers`] tells the other VMs what this one uses.
-//! - `metrics` counts.
-//! - `page` serves what is not for callers.
-//! - [`app`] puts it together and stops it in order.
+//! - [`state`] holds the state that the request path bases its decisions on.
+//! - `follow` updates that state from the platform's store.
+//! - [`peers`] exchanges upstream use and updates with the other VMs.
+//! - `metrics` holds the Prometheus metrics.
+//! - `page` serves HTTP endpoints that are not for callers.
+//! - [`app`] starts these parts and shuts them down gracefully.
 
 pub mod app;
 mod caller;
--- a/trouttrack_front/src/main.rs
+++ b/trouttrack_front/src/main.rs
@@ -1,4 +1,4 @@
-//! The front as a process.
+//! Command-line entry point of the front.
 
 mod args;
 
--- a/trouttrack_front/src/metrics/mod.rs
+++ b/trouttrack_front/src/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, served as text for scraping.
+//! Prometheus metrics in the text exposition format.
 
 use prometheus::{
     Encoder, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry,
@@ -6,52 +6,51 @@
 };
 use std::time::Duration;
 
-/// Bounds of the latency histograms, in seconds: from a lookup's few
-/// milliseconds to a draft's half a minute.
-const SECONDS: &[f64] = &[
+/// From a few milliseconds for a lookup to half a minute for a long generation.
+const LATENCY_BUCKETS_SECONDS: &[f64] = &[
     0.005, 0.01, 0.02, 0.04, 0.06, 0.08, 0.1, 0.15, 0.2, 0.3, 0.5, 0.8, 1.2, 1.8, 3.0, 6.0, 12.0,
     30.0,
 ];
 
-/// What a front counts.
+/// Metrics of a front.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Requests that ended, by kind and how.
+    /// Finished requests, by kind and outcome.
     pub ended: IntCounterVec,
-    /// Refusals, by reason.
+    /// Refused requests, by reason.
     pub refused: IntCounterVec,
-    /// Attempts at upstreams, by result.
+    /// Attempts on upstreams, by result.
     pub attempts: IntCounterVec,
     /// Moves of generations, by result.
     pub moves: IntCounterVec,
     /// Requests in progress.
     pub in_flight: IntGauge,
-    /// Failure domains that are evacuated, as far as this VM knows.
+    /// Number of evacuated failure domains known to this VM.
     pub evacuated: IntGauge,
-    /// Upstreams' entries that could not be read, by reason.
+    /// Upstream entries that could not be parsed, by reason.
     pub unreadable: IntCounterVec,
-    /// What upstreams have said of themselves, by word.
+    /// Status changes that upstreams reported about themselves, by kind.
     pub words: IntCounterVec,
-    /// Requests that are given to no upstream, as far as this VM knows.
+    /// Quarantined requests known to this VM.
     pub held: IntGauge,
     /// Calls to the platform's store.
     pub store_calls: IntGauge,
     /// Connections opened to upstreams.
     pub connections: IntGauge,
-    /// Log lines left out by the bounds on their number.
+    /// Log lines dropped by the rate limits on logging.
     pub log_lines_dropped: IntGauge,
-    /// From a request's arrival to its answer or first event.
+    /// Time from a request's arrival to its answer or first event.
     pub first_byte: Histogram,
-    /// The prompts before a request at the upstream chosen for it, as decided by.
+    /// Estimated time to load the prompts ahead of a request on the chosen upstream.
     pub loading: Histogram,
-    /// The age of the oldest word of a peer that a choice was made by.
+    /// Age of the oldest peer report that a placement was based on.
     pub known_age: Histogram,
-    /// The pause that callers saw while a generation was moved.
+    /// Pause of a caller's stream while its generation was moved.
     pub move_pause: Histogram,
-    /// Events forwarded.
+    /// Stream events forwarded to callers.
     pub events: IntCounter,
-    /// Rows of the decision tables that were made anew with all others.
+    /// Scheduler rows rebuilt in full rebuilds of the tables.
     pub rows_made: IntCounter,
 }
 
@@ -61,7 +60,7 @@
     }
 }
 
-fn vec(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
+fn counter_vec(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
     let metric = IntCounterVec::new(Opts::new(name, help), labels).expect("a valid name");
     register(registry, metric.clone());
     metric
@@ -80,7 +79,7 @@
 }
 
 fn histogram(registry: &Registry, name: &str, help: &str) -> Histogram {
-    let opts = HistogramOpts::new(name, help).buckets(SECONDS.to_vec());
+    let opts = HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS_SECONDS.to_vec());
     let metric = Histogram::with_opts(opts).expect("a valid name");
     register(registry, metric.clone());
     metric
@@ -93,36 +92,36 @@
 }
 
 impl Metrics {
-    /// Everything at zero.
+    /// Creates and registers all metrics.
     #[must_use]
     pub fn new() -> Self {
         let r = Registry::new();
         Self {
-            ended: vec(
+            ended: counter_vec(
                 &r,
                 "trouttrack_requests_total",
                 "Requests that ended, by kind and how",
                 &["kind", "end"],
             ),
-            words: vec(
+            words: counter_vec(
                 &r,
                 "trouttrack_upstream_words_total",
                 "News of what upstreams say of themselves: that they leave, want a pause or name a limit",
                 &["word"],
             ),
-            refused: vec(
+            refused: counter_vec(
                 &r,
                 "trouttrack_refused_total",
                 "Requests refused as not run, by reason",
                 &["reason"],
             ),
-            attempts: vec(
+            attempts: counter_vec(
                 &r,
                 "trouttrack_attempts_total",
                 "Attempts at upstreams, by result",
                 &["result"],
             ),
-            moves: vec(
+            moves: counter_vec(
                 &r,
                 "trouttrack_moves_total",
                 "Moves of generations, by result",
@@ -134,7 +133,7 @@
                 "trouttrack_evacuated_failure_domains",
                 "Failure domains whose upstreams get no new work",
             ),
-            unreadable: vec(
+            unreadable: counter_vec(
                 &r,
                 "trouttrack_unreadable_entries_total",
                 "Upstreams' entries that could not be read, by reason",
@@ -186,12 +185,12 @@
         }
     }
 
-    /// Takes the time to the first byte.
+    /// Records the time to the first byte.
     pub fn first_byte_after(&self, time: Duration) {
         self.first_byte.observe(time.as_secs_f64());
     }
 
-    /// Takes what an upstream was chosen by.
+    /// Records the estimates that a placement was based on.
     pub fn decided(&self, loading: Duration, known: Option<Duration>) {
         self.loading.observe(loading.as_secs_f64());
         if let Some(age) = known {
@@ -199,13 +198,13 @@
         }
     }
 
-    /// Everything as text.
+    /// Encodes all metrics as text.
     #[must_use]
     pub fn text(&self) -> Vec<u8> {
         let mut out = Vec::new();
         let encoded = TextEncoder::new().encode(&self.registry.gather(), &mut out);
         if let Err(e) = encoded {
-            log::error!("metrics cannot be encoded: {e}");
+            log::error!("cannot encode metrics: {e}");
         }
         out
     }
--- a/trouttrack_front/src/page/mod.rs
+++ b/trouttrack_front/src/page/mod.rs
@@ -1,8 +1,8 @@
-//! Listening, and serving small pages to others than callers.
+//! Listening sockets, and HTTP endpoints that are not for callers.
 //!
-//! Connections are served on the one thread of the process by `actix-http`,
-//! the layer below `actix-web`: `actix-web`'s server starts threads of its
-//! own, and each costs memory and wake-ups on a VM with part of one core.
+//! Connections are served on the single thread of the process by `actix-http`, the layer
+//! below `actix-web`: the server of `actix-web` starts its own threads, and each costs memory
+//! and wake-ups on a VM with a fraction of a core.
 
 use actix_http::body::{BoxBody, MessageBody};
 use actix_http::{HttpService, Request, Response};
@@ -13,18 +13,17 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Connections that wait to be accepted: with a full queue a peer's first
-/// packet is dropped and sent again only seconds later.
+/// Length of the accept queue. With a full queue a client's SYN is dropped and retransmitted
+/// only seconds later.
 const BACKLOG: u32 = 1024;
-/// Pause after a connection could not be accepted, as when descriptors run
-/// out.
+/// Pause after a failed `accept`, for example when file descriptors run out.
 pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Binds a port.
+/// Opens a listening TCP socket.
 ///
 /// # Errors
 ///
-/// The port cannot be had.
+/// The address cannot be bound.
 pub(crate) fn listen(addr: SocketAddr) -> io::Result<TcpListener> {
     let socket = tokio::net::TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -32,11 +31,11 @@
     socket.listen(BACKLOG)
 }
 
-/// Serves a page for as long as the process runs.
+/// Serves HTTP requests with `page` for as long as the process runs.
 ///
 /// # Errors
 ///
-/// The service cannot be made.
+/// The HTTP service cannot be created.
 pub(crate) async fn serve_page<F, B>(listener: TcpListener, page: F) -> io::Result<()>
 where
     F: Fn(&Request) -> Response<B> + Clone + 'static,
@@ -51,7 +50,7 @@
         .tcp()
         .new_service(())
         .await
-        .map_err(|()| io::Error::other("the service cannot be made"))?;
+        .map_err(|()| io::Error::other("cannot create the HTTP service"))?;
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -59,7 +58,7 @@
                 actix_rt::spawn(async move { drop(connection.await) });
             }
             Err(e) => {
-                log::warn!("cannot accept: {e}");
+                log::warn!("cannot accept a connection: {e}");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
--- a/trouttrack_front/src/state/budgets.rs
+++ b/trouttrack_front/src/state/budgets.rs
@@ -1,4 +1,4 @@
-//! Retry budgets, one a service.
+//! Retry budgets, one per service.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -6,19 +6,19 @@
 use trouttrack_core::request::SharedBudget;
 use trouttrack_core::{ServiceId, Time};
 
-/// This VM's part of the fleet's retry budgets.
+/// This VM's share of the fleet's retry budgets.
 #[derive(Debug)]
 pub struct Budgets {
     settings: RetrySettings,
-    /// Differs from VM to VM.
+    /// Random per VM.
     seed: u64,
-    /// How many VMs share the budgets; `None` until any is listed.
+    /// Number of VMs that share the budgets; `None` until any is listed.
     vms: Cell<Option<usize>>,
     by_service: RefCell<HashMap<ServiceId, SharedBudget>>,
 }
 
 impl Budgets {
-    /// Nothing is spent.
+    /// Creates unused budgets.
     #[must_use]
     pub fn new(settings: RetrySettings) -> Self {
         Self {
@@ -29,18 +29,18 @@
         }
     }
 
-    /// The number of VMs that share the budgets.
+    /// Sets the number of VMs that share the budgets.
     pub fn set_vms(&self, vms: usize) {
         self.vms.set(Some(vms.max(1)));
     }
 
-    /// A request is sent to a service for the first time.
+    /// Counts the first attempt of a request to a service.
     pub fn first_attempt(&self, now: Time, service: &str) {
         self.with(service, |budget| budget.first_attempt(now));
     }
 
-    /// Takes one retry, if there is one left. There is none while the number of VMs is not
-    /// known: any number that were assumed would be too small for some fleet.
+    /// Takes one retry if the budget allows it. No retry is allowed while the number of VMs is
+    /// unknown: any assumed number would be too small for some fleet.
     pub fn try_retry(&self, now: Time, service: &str) -> bool {
         let retry = |vms| self.with(service, |budget| budget.try_retry(now, vms));
         self.vms.get().is_some_and(retry)
--- a/trouttrack_front/src/state/clock.rs
+++ b/trouttrack_front/src/state/clock.rs
@@ -1,4 +1,4 @@
-//! The process's clock.
+//! Process-wide monotonic clock.
 
 use nix::time::{ClockId, clock_gettime};
 use std::cell::Cell;
@@ -6,55 +6,57 @@
 use std::time::Duration;
 use trouttrack_core::Time;
 
-/// Tells time since the process started, with the time in which the machine was suspended:
-/// an age that bounds a promise, such as how long ago keys were confirmed, grows meanwhile
-/// for everybody else. The steady clock that timers go by stands still then. The time of
-/// day is never used: it may jump.
+/// Measures the time since the process started, including time during which the machine was
+/// suspended. Ages that bound a guarantee, such as the time since keys were confirmed, keep
+/// growing for the rest of the fleet during a suspension, while the monotonic clock used by
+/// timers stops. Wall-clock time is never used because it may jump.
 #[derive(Clone, Debug)]
 pub struct Clock {
     started: Duration,
-    /// Added to the clock's time, for [`suspended`](Self::suspended).
-    added: Rc<Cell<Duration>>,
+    /// Suspension time simulated with [`suspended`](Self::suspended).
+    simulated_suspension: Rc<Cell<Duration>>,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock at zero.
     #[must_use]
     pub fn start() -> Self {
         Self {
-            started: since_boot(),
-            added: Rc::default(),
+            started: time_since_boot(),
+            simulated_suspension: Rc::default(),
         }
     }
 
-    /// The time now.
+    /// The current time.
     #[must_use]
     pub fn now(&self) -> Time {
-        since_boot().saturating_sub(self.started) + self.added.get()
+        time_since_boot().saturating_sub(self.started) + self.simulated_suspension.get()
     }
 
-    /// Makes this clock, and its clones, go on as if the machine had been suspended for so
-    /// long. For tests.
+    /// Advances this clock and its clones as if the machine had been suspended for `time`. For
+    /// tests only.
     pub fn suspended(&self, time: Duration) {
-        self.added.set(self.added.get() + time);
+        self.simulated_suspension
+            .set(self.simulated_suspension.get() + time);
     }
 
-    /// A point in time for timers. They do not run while the machine is suspended, so one
-    /// that is set before fires late by that, and whoever set it looks at this clock again.
+    /// Converts a time to an instant for timers. Timers do not run while the machine is
+    /// suspended, so a timer set before a suspension fires late by its length; callers must
+    /// check this clock again when it fires.
     #[must_use]
     pub fn instant(&self, at: Time) -> tokio::time::Instant {
         tokio::time::Instant::now() + self.until(at)
     }
 
-    /// How long it is from now until `at`; zero if it has passed.
+    /// Time remaining until `at`; zero if it has passed.
     #[must_use]
     pub fn until(&self, at: Time) -> Duration {
         at.saturating_sub(self.now())
     }
 }
 
-/// Time since the machine started, suspensions included.
-fn since_boot() -> Duration {
-    let time = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("a clock that Linux always has");
+/// Time since the machine booted, including suspensions.
+fn time_since_boot() -> Duration {
+    let time = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("Linux always has CLOCK_BOOTTIME");
     Duration::from(time)
 }
--- a/trouttrack_front/src/state/deferred.rs
+++ b/trouttrack_front/src/state/deferred.rs
@@ -13,7 +13,7 @@
 struct DeferredEntry {
     entry: UpstreamEntry,
     revision: Revision,
-    /// When it is used if it is still listed.
+    /// Time at which it is used if it is still listed.
     accept_at: Time,
 }
 
@@ -29,8 +29,13 @@
 
 impl DeferredEntries {
     /// Records the removal of an upstream.
-    pub(super) fn record_removal(&mut self, now: Time, life: &Incarnation, revision: Revision) {
-        self.departures.insert(now, life, revision);
+    pub(super) fn record_removal(
+        &mut self,
+        now: Time,
+        incarnation: &Incarnation,
+        revision: Revision,
+    ) {
+        self.departures.insert(now, incarnation, revision);
     }
 
     /// Drops the deferred entries that are not in a list. Returns whether the list is the first
@@ -55,14 +60,14 @@
         entry: &UpstreamEntry,
     ) -> bool {
         let previous = self.by_id.remove(id);
-        let life = Incarnation::new(id, entry.born);
+        let incarnation = Incarnation::new(id, entry.born);
         let first_list = match revision.epoch > self.first_list_revision.epoch {
             true => revision,
             false => self.first_list_revision,
         };
         if !self
             .departures
-            .is_removal_undone(now, &life, revision, first_list)
+            .is_removal_undone(now, &incarnation, revision, first_list)
         {
             return false;
         }
--- a/trouttrack_front/src/state/front.rs
+++ b/trouttrack_front/src/state/front.rs
@@ -1,4 +1,4 @@
-//! The parts of a front, for those that need several.
+//! Shared state of a front.
 
 use super::budgets::Budgets;
 use super::clock::Clock;
@@ -23,97 +23,97 @@
 use trouttrack_http::Client;
 use trouttrack_platform::{EngineClient, StoreClient, StoreError};
 
-/// How long a connection to an upstream may take: many times the way between
-/// failure domains, and short enough to go elsewhere within an objective.
-const UPSTREAM_CONNECT: Duration = Duration::from_millis(100);
-/// Idle connections kept to one upstream, unless the VMs are so many that they
-/// must keep fewer.
-const IDLE_PER_UPSTREAM: usize = 4;
-/// How long a connection to the store may take.
-const STORE_CONNECT: Duration = Duration::from_millis(700);
-/// How long a connection to a peer may take: another one is asked as well.
-const PEER_CONNECT: Duration = Duration::from_millis(300);
-/// The age of the newest confirmation after which the store counts as silent, in
-/// parts of the age at which it is renewed: the VMs that watch the store renew it
-/// at 0.7 at the latest, and heartbeats spread it.
-const SILENT: f64 = 0.9;
-/// How long a watch for evacuations waits, in parts of the bound within which they are
-/// in force: one that fell silent is given up before the bound is over. Of the bound of
-/// five seconds, 0.4 cost 80 calls a day more in a fleet of four failure domains.
-const WATCHED_ANEW: f64 = 0.8;
-/// How much longer each priority may wait than the one above it.
+/// Many times the round trip between failure domains, and short enough to try another
+/// upstream within a latency objective.
+const UPSTREAM_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Idle connections kept per upstream; fewer if many VMs share an upstream's connection limit.
+const MAX_IDLE_PER_UPSTREAM: usize = 4;
+const STORE_CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
+/// Shorter than for the store because another peer is asked as well.
+const PEER_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Age of the newest confirmation after which the store counts as silent, as a fraction of
+/// the renewal age: the VMs that watch the store renew it at 0.7 at the latest, and
+/// heartbeats distribute it.
+const STORE_SILENT_RATIO: f64 = 0.9;
+/// Time-out of a watch for evacuations, as a fraction of the bound within which they must be
+/// in force, so that a watch that stops reporting is replaced before the bound expires. With
+/// a bound of five seconds, 0.4 costs 80 more calls a day in a fleet of four failure domains.
+const EVACUATION_WATCH_RATIO: f64 = 0.8;
+/// Additional waiting time of each priority compared with the next higher one.
 const AGEING: Duration = Duration::from_secs(2);
-/// A request that has waited this long goes before all shares.
+/// A request that has waited this long takes precedence over all fair shares.
 const MAX_WAIT: Duration = Duration::from_secs(4);
 /// Share of an engine's memory that requests forecast to grow must leave free.
 const URGENT_RESERVE: f64 = 0.1;
 /// Quantile of the remaining tokens that the memory forecast uses.
 const GROWTH_QUANTILE: f64 = 0.5;
 /// How many tokens ahead the memory forecast looks.
-const LOOK_AHEAD: u64 = 512;
+const LOOK_AHEAD_TOKENS: u64 = 512;
 
-/// What the request path decides by and works with.
+/// State and clients shared by the tasks of a front.
 #[derive(Debug)]
 pub struct Front {
     /// The name of this VM.
     pub name: String,
-    /// Where it stands.
+    /// The failure domain of this VM.
     pub failure_domain: FailureDomain,
-    /// Where peers reach it, once that is known.
+    /// The address for peers, once bound.
     pub peer_addr: OnceCell<SocketAddr>,
-    /// The clock.
+    /// The process-wide clock.
     pub clock: Clock,
-    /// Readiness and requests in progress.
+    /// Readiness, graceful shutdown and requests in progress.
     pub lifecycle: Rc<Lifecycle>,
     /// The configuration in force.
     pub routing: Routing,
     /// The upstreams.
     pub upstreams: Upstreams,
-    /// The decision tables.
+    /// Places requests on upstreams.
     pub scheduler: Rc<Scheduler>,
     /// The other VMs.
     pub peers: PeerTable,
-    /// What was learned of upstreams' entries lately, for VMs that missed some.
+    /// Recent changes of upstream entries, for VMs that missed some.
     pub history: RefCell<NewsHistory>,
     /// Retry budgets.
     pub budgets: Budgets,
-    /// Requests under which upstreams ended.
+    /// Requests during which upstreams crashed.
     pub suspects: Suspects,
-    /// Carries requests to upstreams.
+    /// Client for requests to upstreams.
     pub http: Client,
-    /// Carries what is too large for a datagram between VMs.
+    /// Client for transfers between VMs that are too large for a datagram.
     pub to_peers: Client,
-    /// Calls engines beside requests.
+    /// Client for control calls to engines.
     pub engines: EngineClient,
-    /// Calls the store.
+    /// Client for the store.
     pub store: StoreClient,
-    /// Whether the store answers.
+    /// Whether the store is reachable.
     pub store_contact: StoreContact,
-    /// News for the other VMs.
+    /// Updates to be sent to the other VMs.
     pub news: mpsc::Sender<News>,
-    /// The failure domains that operators have evacuated.
+    /// Failure domains evacuated by operators.
     pub evacuations: RefCell<Evacuations>,
     /// Evacuations that a restore of the store has lost, and the time until which each stays in
     /// force.
     pub lost_evacuations: RefCell<Vec<(FailureDomain, Time)>>,
-    /// How long a watch for them waits.
+    /// Time-out of a watch for evacuations.
     pub evacuation_watch: Duration,
-    /// Policies that can be switched.
+    /// Serving policies from the settings.
     pub serving: ServingSettings,
-    /// Counters.
+    /// Counters, gauges and histograms.
     pub metrics: Metrics,
 }
 
 impl Front {
-    /// A front that knows nothing yet.
+    /// Creates a front with empty state.
     #[must_use]
     pub fn new(settings: &FrontSettings, news: mpsc::Sender<News>) -> Rc<Self> {
         let clock = Clock::start();
         let http = Client::builder()
-            .connect_timeout(UPSTREAM_CONNECT)
-            .idle_per_peer(IDLE_PER_UPSTREAM)
+            .connect_timeout(UPSTREAM_CONNECT_TIMEOUT)
+            .idle_per_peer(MAX_IDLE_PER_UPSTREAM)
+            .build();
+        let to_store = Client::builder()
+            .connect_timeout(STORE_CONNECT_TIMEOUT)
             .build();
-        let to_store = Client::builder().connect_timeout(STORE_CONNECT).build();
         Rc::new(Self {
             name: settings.vm.name.clone(),
             failure_domain: settings.vm.failure_domain.clone(),
@@ -128,7 +128,7 @@
             budgets: Budgets::new(settings.retry),
             suspects: Suspects::new(clock, settings.quarantine),
             to_peers: Client::builder()
-                .connect_timeout(PEER_CONNECT)
+                .connect_timeout(PEER_CONNECT_TIMEOUT)
                 .idle_per_peer(0)
                 .build(),
             engines: EngineClient::new(http.clone()),
@@ -138,7 +138,7 @@
             news,
             evacuations: RefCell::default(),
             lost_evacuations: RefCell::default(),
-            evacuation_watch: settings.bounds.evacuate.mul_f64(WATCHED_ANEW),
+            evacuation_watch: settings.bounds.evacuate.mul_f64(EVACUATION_WATCH_RATIO),
             serving: settings.serving.clone(),
             metrics: Metrics::new(),
         })
@@ -146,7 +146,7 @@
 }
 
 impl Front {
-    /// The store answered a call of this VM.
+    /// Records that the store answered a call of this VM.
     pub fn store_answered(&self) {
         self.upstreams.store_back();
         self.store_contact.answered(self.clock.now());
@@ -155,14 +155,14 @@
         }
     }
 
-    /// Notes a store epoch reported by the store or by a peer.
+    /// Records a store epoch reported by the store or by a peer.
     pub fn note_store_epoch(&self, epoch: StoreEpoch) {
         self.store.note_epoch(epoch);
         self.store_contact.note_epoch(epoch);
     }
 
-    /// Whether the store has answered a peer of the own failure domain within `longest`,
-    /// as far as was heard.
+    /// Whether a peer of the same failure domain is known to have been answered by the store
+    /// within `longest`.
     #[must_use]
     pub fn peer_is_answered(&self, longest: Duration) -> bool {
         let now = self.clock.now();
@@ -170,24 +170,24 @@
         self.peers.any_near_in_contact(home, now, longest)
     }
 
-    /// The store answers peers again: what it says comes from them.
+    /// Records that the store answers peers again, so that its state arrives through them.
     pub fn store_is_back_for_peers(&self) {
         self.upstreams.store_back();
         self.store_contact.heard_back();
     }
 
-    /// Whether nobody tells any more which upstreams leave: no VM that is heard of
-    /// has been answered by the store for so long.
+    /// Whether departures of upstreams can no longer be learned from the store: no known VM has
+    /// been answered by it recently.
     #[must_use]
     pub fn store_is_silent(&self) -> bool {
         let now = self.clock.now();
-        let longest = self.routing.renewed_after().mul_f64(SILENT);
+        let longest = self.routing.renewed_after().mul_f64(STORE_SILENT_RATIO);
         let unconfirmed = self.routing.age().is_none_or(|age| age > longest);
         unconfirmed || self.store_contact.is_away() && !self.peers.any_in_contact(now, longest)
     }
 
-    /// Divides anew what all VMs share: more of them are listed, or the
-    /// configuration has changed.
+    /// Recomputes this VM's share of fleet-wide limits after a change of the listed VMs or the
+    /// configuration.
     pub fn divide(&self) {
         let vms = self.peers.listed();
         if vms == 0 {
@@ -198,11 +198,11 @@
             let services = table.config().services.iter();
             services.filter_map(|s| s.max_connections).min()
         });
-        let idle = idle_share(most, vms, IDLE_PER_UPSTREAM);
+        let idle = idle_share(most, vms, MAX_IDLE_PER_UPSTREAM);
         self.http.set_idle_per_peer(idle);
     }
 
-    /// The store did not answer a call of this VM.
+    /// Records that the store did not answer a call of this VM.
     pub fn store_failed(&self, error: &StoreError) {
         self.upstreams.store_lost();
         self.store_contact.lost(error);
@@ -219,7 +219,7 @@
         growth_quantile: GROWTH_QUANTILE,
         placed_fill: PLACED_FILL,
         moved_fill: MOVED_FILL,
-        look_ahead: LOOK_AHEAD,
+        look_ahead: LOOK_AHEAD_TOKENS,
         policy: settings.serving.policy.clone().weighted(settings.placement),
         seed: rand::random(),
     }
--- a/trouttrack_front/src/state/lifecycle.rs
+++ b/trouttrack_front/src/state/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Whether the process takes requests, and how many it has.
+//! Readiness, graceful shutdown and the number of requests in progress.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,75 +6,74 @@
 use tokio::sync::Notify;
 use trouttrack_core::Time;
 
-/// Before the end of a planned stop, time for requests that were still taken:
-/// several times what a plain call or a short stream usually takes.
-const LAST_REQUESTS: Duration = Duration::from_millis(2000);
+/// Requests are refused in this last part of a graceful shutdown, so that those accepted
+/// earlier can finish: several times the usual duration of a plain call or a short stream.
+const MIN_TIME_BEFORE_EXIT: Duration = Duration::from_millis(2000);
 
-/// After the beginning of a planned stop, time in which a request may be taken on
-/// its caller's guess of its length: callers are still sent here, and what is cut
-/// off at the end of the stop has had most of its time.
-const TAKEN_ON_A_GUESS: Duration = Duration::from_millis(2500);
+/// Period after the start of a graceful shutdown in which a request may be accepted on its
+/// caller's estimate of its length: the load balancer still routes callers here, and a
+/// request cut off at the end of the shutdown has had most of its time.
+const GUESS_ACCEPT_PERIOD: Duration = Duration::from_millis(2500);
 
-/// Readiness, the planned stop, and requests in progress.
+/// Readiness, graceful shutdown and requests in progress.
 #[derive(Debug, Default)]
 pub struct Lifecycle {
     ready: Cell<bool>,
-    /// When a planned stop began and when it ends the process.
+    /// Start of a graceful shutdown, and the time at which the process exits.
     stop: Cell<Option<(Time, Time)>>,
     in_flight: Cell<usize>,
-    changed: Notify,
+    request_finished: Notify,
 }
 
 impl Lifecycle {
-    /// Requests can be served.
+    /// Marks the process as able to serve requests.
     pub fn set_ready(&self) {
         self.ready.set(true);
     }
 
-    /// Whether the balancer is to send callers.
+    /// Whether the load balancer should route callers here.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.ready.get() && !self.is_stopping()
     }
 
-    /// A planned stop begins; the process ends at `ends_at`. Told again, only
-    /// the end changes.
+    /// Starts a graceful shutdown; the process exits at `ends_at`. A repeated call changes only
+    /// the end.
     pub fn stop(&self, now: Time, ends_at: Time) {
         let began = self.stop.get().map_or(now, |(began, _)| began);
         self.stop.set(Some((began, ends_at)));
     }
 
-    /// Whether a planned stop has begun.
+    /// Whether a graceful shutdown has started.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.stop.get().is_some()
     }
 
-    /// Whether a request of unknown length may still be taken.
+    /// Whether a request of unknown length is still accepted.
     #[must_use]
     pub fn takes_requests(&self, now: Time) -> bool {
         self.takes_request_of(now, Duration::ZERO)
     }
 
-    /// Whether a request that is thought to run for this long ends before the
-    /// process does.
+    /// Whether a request of this estimated duration finishes before the process exits.
     #[must_use]
     pub fn takes_request_of(&self, now: Time, length: Duration) -> bool {
         self.stop
             .get()
-            .is_none_or(|(_, ends)| now + length + LAST_REQUESTS < ends)
+            .is_none_or(|(_, ends)| now + length + MIN_TIME_BEFORE_EXIT < ends)
     }
 
-    /// Whether a request may still be taken on its caller's guess of its length,
-    /// which may be far off.
+    /// Whether a request is still accepted on its caller's estimate of its length, which may be
+    /// far off.
     #[must_use]
     pub fn trusts_guesses(&self, now: Time) -> bool {
         self.stop
             .get()
-            .is_none_or(|(began, _)| now < began + TAKEN_ON_A_GUESS)
+            .is_none_or(|(began, _)| now < began + GUESS_ACCEPT_PERIOD)
     }
 
-    /// Requests in progress.
+    /// Number of requests in progress.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.in_flight.get()
@@ -87,19 +86,19 @@
         InFlight(Rc::clone(self))
     }
 
-    /// Waits for the end of a request.
+    /// Waits until a request finishes.
     pub async fn request_ended(&self) {
-        self.changed.notified().await;
+        self.request_finished.notified().await;
     }
 }
 
-/// A request in progress.
+/// Guard that counts a request as in progress.
 #[derive(Debug)]
 pub struct InFlight(Rc<Lifecycle>);
 
 impl Drop for InFlight {
     fn drop(&mut self) {
         self.0.in_flight.set(self.0.in_flight.get() - 1);
-        self.0.changed.notify_waiters();
+        self.0.request_finished.notify_waiters();
     }
 }
--- a/trouttrack_front/src/state/mod.rs
+++ b/trouttrack_front/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What the request path decides by, a type a concern.
+//! State that the request path bases its decisions on, one type per concern.
 
 mod budgets;
 mod clock;
--- a/trouttrack_front/src/state/routing.rs
+++ b/trouttrack_front/src/state/routing.rs
@@ -11,36 +11,36 @@
 use trouttrack_core::{ConfigVersion, Time};
 use trouttrack_telemetry::{events, record};
 
-/// Taken off the bound: a request that passed the check just in time still has
-/// to travel to its upstream.
-const TRAVEL: Duration = Duration::from_millis(300);
+/// Subtracted from the revocation bound: a request that passes the key check at the last
+/// moment still has to reach its upstream within the bound.
+const FORWARD_ALLOWANCE: Duration = Duration::from_millis(300);
 
-/// The part of the bound on removed keys after which a confirmation is renewed:
-/// it leaves time for two calls that fail.
-const PART_OF_REVOKE: f64 = 0.4;
+/// Fraction of the revocation bound after which a confirmation is renewed; leaves time for
+/// two failed calls.
+const RENEWAL_RATIO: f64 = 0.4;
 
-/// Routes, organisations and their freshness.
+/// Routes and organisations in force, and the freshness of their confirmation.
 #[derive(Debug)]
 pub struct Routing {
     clock: Clock,
     table: RefCell<Option<Rc<RouteTable>>>,
     /// The store's revision of the configuration in force.
     revision: Cell<Revision>,
-    /// The configuration in force as the store has it.
+    /// The configuration in force, serialized as in the store.
     spec: RefCell<Option<Rc<str>>>,
     freshness: Cell<Freshness>,
-    /// The bound on removed keys.
+    /// Revocation bound: the time within which a removed key must stop working.
     revoke: Cell<Duration>,
-    /// Whether that bound holds also while the store cannot be reached.
+    /// Whether the revocation bound also applies while the store is unreachable.
     strict: Cell<bool>,
-    /// The bound on the time in which a new configuration is in force.
+    /// Time within which a new configuration must be in force.
     config_apply: Duration,
     /// Whether staleness has been reported.
     stale: Cell<bool>,
 }
 
 impl Routing {
-    /// No configuration is known.
+    /// Starts without a configuration.
     #[must_use]
     pub fn new(clock: Clock, bounds: &BoundSettings) -> Self {
         let revoke = bounds.revoke;
@@ -49,7 +49,7 @@
             table: RefCell::default(),
             revision: Cell::default(),
             spec: RefCell::default(),
-            freshness: Cell::new(Freshness::new(revoke.saturating_sub(TRAVEL))),
+            freshness: Cell::new(Freshness::new(revoke.saturating_sub(FORWARD_ALLOWANCE))),
             revoke: Cell::new(revoke),
             config_apply: bounds.config_apply,
             strict: Cell::new(bounds.revoke_strict),
@@ -57,12 +57,12 @@
         }
     }
 
-    /// Changes the bound on removed keys, and whether it is strict.
+    /// Changes the revocation bound, and whether it is strict.
     pub fn set_bounds(&self, bounds: &BoundSettings) {
         let revoke = bounds.revoke;
         self.strict.set(bounds.revoke_strict);
         let mut freshness = self.freshness.get();
-        freshness.set_bound(revoke.saturating_sub(TRAVEL));
+        freshness.set_bound(revoke.saturating_sub(FORWARD_ALLOWANCE));
         self.freshness.set(freshness);
         self.revoke.set(revoke);
     }
@@ -71,10 +71,10 @@
     #[must_use]
     pub fn renewed_after(&self) -> Duration {
         let revoke = self.revoke.get();
-        revoke.mul_f64(PART_OF_REVOKE).min(self.config_apply)
+        revoke.mul_f64(RENEWAL_RATIO).min(self.config_apply)
     }
 
-    /// The bound on the time in which a new configuration is in force.
+    /// Time within which a new configuration must be in force.
     #[must_use]
     pub fn apply_within(&self) -> Duration {
         self.config_apply
@@ -104,30 +104,30 @@
         self.revision.get()
     }
 
-    /// The configuration in force as the store has it.
+    /// The configuration in force, serialized as in the store.
     #[must_use]
     pub fn spec(&self) -> Option<Rc<str>> {
         self.spec.borrow().clone()
     }
 
-    /// Keeps the configuration in force as the store has it, for other VMs.
+    /// Keeps the serialized configuration in force, to be sent to other VMs.
     pub fn keep_spec(&self, spec: &str) {
         *self.spec.borrow_mut() = Some(spec.into());
     }
 
-    /// Whether the configuration in force is the one of this revision.
+    /// Whether the configuration in force has this revision.
     #[must_use]
     pub fn has_revision(&self, revision: Revision) -> bool {
         self.revision.get() == revision
     }
 
-    /// Puts a configuration in force, unless a newer one is. Returns whether
-    /// it did.
+    /// Puts a configuration in force unless its version is not newer than the current one.
+    /// Returns whether it did.
     pub fn put(&self, revision: Revision, config: FleetConfig) -> bool {
         let (before, version) = (self.version(), config.version);
         if self.table.borrow().is_some() && version <= before {
             if version == before {
-                // What another VM told may be older than what the store said since.
+                // A revision received from another VM may be older than the one read from the store.
                 self.revision.set(self.revision.get().max(revision));
             }
             return false;
@@ -145,7 +145,7 @@
         true
     }
 
-    /// A call sent at `sent_at` showed the configuration in force.
+    /// Records that a call sent at `sent_at` confirmed the configuration in force.
     pub fn confirmed(&self, sent_at: Time) {
         let mut freshness = self.freshness.get();
         freshness.confirmed(sent_at);
@@ -155,14 +155,13 @@
         }
     }
 
-    /// Whether requests with a key that the configuration holds are served.
+    /// Whether requests with a key in the configuration are served.
     ///
-    /// Where the bound on removed keys is strict, only while the configuration is
-    /// fresh: one key too many counts for more than all requests of an outage.
-    /// Where it is not, one confirmation in this life is enough, and callers are
-    /// served on through outages of the store: of 67,822 requests on twenty days
-    /// with outages and other faults, 2,343 were refused with the bound and 82
-    /// without.
+    /// If the revocation bound is strict, they are served only while the configuration is
+    /// fresh: accepting one revoked key is worse than refusing all requests during an outage.
+    /// Otherwise one confirmation since the process started is enough, and callers are served
+    /// throughout outages of the store: of 67,822 requests on twenty days with outages and
+    /// other faults, 2,343 were refused with the bound and 82 without.
     #[must_use]
     pub fn admits_keys(&self) -> bool {
         match self.strict.get() {
@@ -171,8 +170,8 @@
         }
     }
 
-    /// Whether the configuration was confirmed within the bound on removed keys,
-    /// so that what it does not hold may be denied.
+    /// Whether the configuration was confirmed within the revocation bound, so that keys and
+    /// routes missing from it may be rejected.
     #[must_use]
     pub fn is_fresh(&self) -> bool {
         let freshness = self.freshness.get();
@@ -185,13 +184,13 @@
         fresh
     }
 
-    /// How old the newest confirmation is.
+    /// Age of the newest confirmation.
     #[must_use]
     pub fn age(&self) -> Option<Duration> {
         self.freshness.get().age(self.clock.now())
     }
 
-    /// How old the newest confirmation is, in milliseconds.
+    /// Age of the newest confirmation in milliseconds.
     #[must_use]
     pub fn age_ms(&self) -> Option<u64> {
         self.age().map(|age| age.as_millis() as u64)
--- a/trouttrack_front/src/state/scheduler.rs
+++ b/trouttrack_front/src/state/scheduler.rs
@@ -1,4 +1,5 @@
-//! Core's tables, and the requests that wait for their decisions.
+//! Drives the scheduler tables of the core crate, and notifies the requests waiting for
+//! placement.
 
 use super::clock::Clock;
 use super::ticket::Ticket;
@@ -16,54 +17,54 @@
     Decision, NotRunReason, RequestKey, Submission, World, WorldSettings,
 };
 
-/// Pause between two runs of the systems while requests wait.
-const TICK: Duration = Duration::from_millis(20);
+/// Pause between two scheduling rounds while requests are queued.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A request that is not run.
+/// A request that was refused without being run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why it was not run.
     pub reason: NotRunReason,
-    /// When the caller may come back.
+    /// Time after which the caller may retry.
     pub retry_after: Duration,
 }
 
-/// Where a request is to be sent.
+/// The upstream chosen for a request, and the estimates that the choice was based on.
 #[derive(Debug)]
 pub struct Placed {
-    /// The upstream.
+    /// Id of the chosen upstream.
     pub upstream: UpstreamId,
-    /// Forecast memory over capacity there, as far as this VM knows.
+    /// Forecast memory use of the upstream as a fraction of its capacity, as known to this VM.
     pub fill: f64,
-    /// Requests estimated to run there.
+    /// Estimated number of requests running on the upstream.
     pub running: usize,
-    /// How long the prompts given to it before are thought to take to load.
+    /// Estimated time to load the prompts placed on it earlier.
     pub loading: Duration,
-    /// The age of the oldest word that counts in this; `None` if no peer is known to use
-    /// it.
+    /// Age of the oldest peer report included in these estimates; `None` if no peer is known to
+    /// use the upstream.
     pub known: Option<Duration>,
-    /// The right to send it; gives itself back.
+    /// Reservation on the upstream, released on drop.
     pub ticket: Ticket,
 }
 
-/// What a request that waits is told.
-type Answer = Result<UpstreamId, Refusal>;
+/// The decision sent to a waiting request.
+type PlacementResult = Result<UpstreamId, Refusal>;
 
-/// Owns the tables; runs the systems when something changed.
+/// Owns the scheduler tables and runs a scheduling round after each change.
 #[derive(Debug)]
 pub struct Scheduler {
     pub(super) clock: Clock,
     pub(super) world: RefCell<World>,
-    /// Who waits for the decision on a request.
-    pub(super) waiting: RefCell<HashMap<RequestKey, oneshot::Sender<Answer>>>,
-    /// A request waits for an upstream.
+    /// Channels to the requests that wait for a decision.
+    pub(super) waiting: RefCell<HashMap<RequestKey, oneshot::Sender<PlacementResult>>>,
+    /// Signalled when a request is queued.
     queued: Notify,
-    /// Something has changed that the other VMs are to hear of soon.
+    /// Signalled when a change should be sent to the other VMs soon.
     news: Notify,
 }
 
 impl Scheduler {
-    /// Empty tables.
+    /// Creates a scheduler with empty tables.
     #[must_use]
     pub fn new(clock: Clock, settings: WorldSettings) -> Self {
         Self {
@@ -75,12 +76,12 @@
         }
     }
 
-    /// Waits for an upstream that takes a request. Dropping the future takes
-    /// the request out of the queue.
+    /// Queues a request and waits until it is placed on an upstream. Dropping the future removes
+    /// the request from the queue.
     ///
     /// # Errors
     ///
-    /// The request is not run.
+    /// The request was refused and not run.
     pub async fn place(self: &Rc<Self>, submission: Submission) -> Result<Placed, Refusal> {
         let (tx, rx) = oneshot::channel();
         let own_prompt = submission.prompt_tokens;
@@ -96,21 +97,21 @@
             retry_after: Duration::ZERO,
         }));
         let upstream = decided?;
-        if own_prompt > 0 || self.is_bounded(&upstream) {
+        if own_prompt > 0 || self.is_rate_bounded(&upstream) {
             self.tell_soon();
         }
         Ok(self.placed(upstream, ticket, own_prompt))
     }
 
-    /// Whether the rate of an upstream is bounded over all VMs.
-    fn is_bounded(&self, upstream: &str) -> bool {
+    /// Whether an upstream has a rate limit that is shared by all VMs.
+    fn is_rate_bounded(&self, upstream: &str) -> bool {
         let world = self.world.borrow();
         let row = world.upstreams.get_by_id(upstream);
         row.is_some_and(|u| u.bounded_rate(self.clock.now()).is_some())
     }
 
-    /// What a decision was made by. The request counts at its upstream already, with its
-    /// prompt.
+    /// Collects the estimates behind a decision. The upstream's row already includes the request
+    /// and its prompt.
     fn placed(&self, upstream: UpstreamId, ticket: Ticket, own_prompt: u64) -> Placed {
         let now = self.clock.now();
         let world = self.world.borrow();
@@ -125,74 +126,75 @@
         }
     }
 
-    /// Runs the systems once and tells those who wait.
+    /// Runs one scheduling round and sends the decisions to the waiting requests.
     pub(super) fn tick(&self) {
         let decisions = self.world.borrow_mut().tick(self.clock.now());
         for decision in decisions {
-            let (request, answer) = answer_of(decision);
+            let (request, result) = placement_result(decision);
             let reply = self.waiting.borrow_mut().remove(&request);
             if let Some(reply) = reply {
-                // Nobody waits any more: the request's ticket is gone as well.
-                drop(reply.send(answer));
+                // The send fails if the caller has dropped the request; its ticket is dropped too.
+                drop(reply.send(result));
             }
         }
     }
 
-    /// Runs the systems while requests wait.
+    /// Runs scheduling rounds periodically while requests are queued.
     pub async fn run(&self) {
         loop {
             self.queued.notified().await;
             while self.world.borrow().queued() > 0 {
-                tokio::time::sleep(TICK).await;
+                tokio::time::sleep(TICK_INTERVAL).await;
                 self.tick();
             }
         }
     }
 
-    /// Something has changed that the other VMs are to hear of soon.
+    /// Requests that changes be sent to the other VMs soon.
     pub(crate) fn tell_soon(&self) {
         self.news.notify_one();
     }
 
-    /// Waits until the other VMs are to hear of something soon: a generation was given
-    /// an engine, a rate that they share was used, or a connection was lost.
+    /// Waits until a change should be sent to the other VMs soon: a generation was placed on an
+    /// engine, a shared rate limit was used, or a connection was lost.
     pub async fn news(&self) {
         self.news.notified().await;
     }
 
-    /// Takes the upstreams that requests may be sent to.
+    /// Replaces the set of upstreams that requests may be sent to.
     pub fn configure(&self, specs: Vec<Spec>) {
         self.world.borrow_mut().configure(specs);
         self.tick();
     }
 
-    /// Takes one upstream, or what is new of it.
+    /// Inserts or updates one upstream.
     pub fn put_upstream(&self, spec: Spec) {
         self.world.borrow_mut().put_upstream(spec);
     }
 
-    /// An upstream is gone.
+    /// Removes an upstream.
     pub fn remove_upstream(&self, id: &str) {
         self.world.borrow_mut().remove_upstream(id);
     }
 
-    /// Places what waits, after upstreams were put or removed.
+    /// Runs a scheduling round after upstreams were inserted or removed.
     pub fn upstreams_changed(&self) {
         self.tick();
     }
 
-    /// Marks an upstream as leaving: it gets no new work.
+    /// Marks an upstream as leaving, so that it gets no new work.
     pub fn set_leaving(&self, upstream: &str) {
         self.world.borrow_mut().set_leaving(upstream, true);
     }
 
-    /// Takes in what an upstream says of itself. Returns whether that is news.
+    /// Applies a status reported by an upstream about itself. Returns whether it changed
+    /// anything.
     pub fn hear(&self, life: &Incarnation, said: Said) -> bool {
         let now = self.clock.now();
         self.world.borrow_mut().hear(now, life, said)
     }
 
-    /// The requests that an upstream takes from all VMs together.
+    /// The rate limit that an upstream has set for all VMs together.
     #[must_use]
     pub fn rate_limit(&self, upstream: &str) -> RateLimit {
         let world = self.world.borrow();
@@ -200,8 +202,8 @@
         row.map_or(RateLimit::Unlimited, Upstream::named_limit)
     }
 
-    /// The limits of upstreams that other VMs are to hear of, or those that have changed
-    /// within a time.
+    /// The upstream rate limits to send to other VMs; with `changed_within`, only those that
+    /// changed within that time.
     #[must_use]
     pub fn limits(&self, changed_within: Option<Duration>) -> Vec<ToldLimit> {
         let now = self.clock.now();
@@ -211,18 +213,19 @@
         limits
     }
 
-    /// What a life of an upstream has said of itself.
+    /// The last status that an incarnation of an upstream reported about itself.
     #[must_use]
     pub fn word_of(&self, life: &Incarnation) -> Word {
         self.world.borrow().word_of(life)
     }
 
-    /// Forgets what was said long ago by upstreams that are listed no more.
+    /// Drops old status reports of upstreams that are no longer listed.
     pub fn forget_words(&self) {
         self.world.borrow_mut().forget_words(self.clock.now());
     }
 
-    /// Whether an upstream is to get new work, by its own word and that of operators.
+    /// Whether an upstream may get new work according to its own status report and to
+    /// evacuations by operators.
     #[must_use]
     pub fn wants_work(&self, upstream: &str) -> bool {
         let world = self.world.borrow();
@@ -230,18 +233,18 @@
         row.is_some_and(|u| u.wants_work(self.clock.now()))
     }
 
-    /// Takes what this VM may use of a rate that is bounded over all VMs.
+    /// Sets this VM's share of rate limits that apply to all VMs together.
     pub fn set_rate_share(&self, share: RateShare) {
         self.world.borrow_mut().set_rate_share(share);
     }
 
-    /// Takes the failure domains that are evacuated, and decides anew on what waits.
+    /// Sets the evacuated failure domains and runs a scheduling round.
     pub fn set_evacuations(&self, evacuations: Evacuations) {
         self.world.borrow_mut().set_evacuations(evacuations);
         self.tick();
     }
 
-    /// Takes in what a peer says of its use of upstreams.
+    /// Applies a peer's report of its use of upstreams.
     pub fn peer_uses(&self, peer: &str, failure_domain: &str, uses: &[UpstreamUse]) {
         let now = self.clock.now();
         self.world
@@ -249,33 +252,33 @@
             .peer_uses(now, peer, failure_domain, uses);
     }
 
-    /// Takes in what a failure domain's VMs together use of its upstreams.
+    /// Applies the aggregated use of a failure domain's upstreams by the VMs of that domain.
     pub fn domain_uses_told(&self, failure_domain: &str, uses: &[UpstreamUse]) {
         let now = self.clock.now();
         let mut world = self.world.borrow_mut();
         world.domain_uses_told(now, failure_domain, uses);
     }
 
-    /// What the own failure domain's VMs together use of its upstreams.
+    /// The aggregated use of this failure domain's upstreams by its VMs.
     #[must_use]
     pub fn domain_uses(&self) -> Vec<UpstreamUse> {
         self.world.borrow().domain_uses(self.clock.now())
     }
 
-    /// The own use of upstreams.
+    /// This VM's use of upstreams.
     #[must_use]
     pub fn own_uses(&self) -> Vec<UpstreamUse> {
         self.world.borrow().own_uses(self.clock.now())
     }
 
-    /// Tokens of memory that other upstreams of a failure domain have room for.
+    /// Free memory of the other upstreams of a failure domain, in tokens.
     #[must_use]
     pub fn room_near(&self, service: &str, failure_domain: &str) -> f64 {
         let world = self.world.borrow();
         world.room_near(self.clock.now(), service, failure_domain)
     }
 
-    /// Whether an upstream may be given work now.
+    /// Whether an upstream accepts new work now.
     #[must_use]
     pub fn is_open(&self, upstream: &str) -> bool {
         let world = self.world.borrow();
@@ -283,7 +286,7 @@
         row.is_some_and(|u| u.open(self.clock.now()))
     }
 
-    /// Whether requests of this VM are at an upstream.
+    /// Whether requests of this VM are running on an upstream.
     #[must_use]
     pub fn uses(&self, upstream: &str) -> bool {
         let world = self.world.borrow();
@@ -291,7 +294,7 @@
         row.is_some_and(|u| u.own_running > 0)
     }
 
-    /// The upstreams at which requests of this VM are.
+    /// The upstreams on which requests of this VM are running.
     #[must_use]
     pub fn used(&self) -> Vec<UpstreamId> {
         let world = self.world.borrow();
@@ -299,7 +302,8 @@
         used.map(|(_, u)| u.spec.id.clone()).collect()
     }
 
-    /// The forecast memory over capacity and the requests of an upstream.
+    /// The forecast memory use as a fraction of capacity, and the estimated number of running
+    /// requests of an upstream.
     #[must_use]
     pub fn load_of(&self, upstream: &str) -> (f64, usize) {
         let world = self.world.borrow();
@@ -308,8 +312,8 @@
     }
 }
 
-/// Whom a decision is for, and what it is.
-fn answer_of(decision: Decision) -> (RequestKey, Answer) {
+/// Splits a decision into the request and the result to send to it.
+fn placement_result(decision: Decision) -> (RequestKey, PlacementResult) {
     match decision {
         Decision::Place { request, upstream } => (request, Ok(upstream)),
         Decision::Refuse {
--- a/trouttrack_front/src/state/store_contact.rs
+++ b/trouttrack_front/src/state/store_contact.rs
@@ -1,4 +1,4 @@
-//! The store going away and coming back.
+//! Whether the store is reachable, and its epoch.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -7,36 +7,36 @@
 use trouttrack_platform::StoreError;
 use trouttrack_telemetry::{events, record};
 
-/// Whether the store answers this VM.
+/// Tracks whether the store answers this VM.
 #[derive(Debug, Default)]
 pub struct StoreContact {
-    away: Cell<bool>,
+    is_unreachable: Cell<bool>,
     answered_at: Cell<Option<Time>>,
-    /// The highest store epoch noted so far.
+    /// Highest store epoch seen so far.
     epoch: watch::Sender<Option<StoreEpoch>>,
     returned: Notify,
 }
 
 impl StoreContact {
-    /// A call failed.
+    /// Records a failed call.
     pub fn lost(&self, error: &StoreError) {
-        if !self.away.replace(true) {
+        if !self.is_unreachable.replace(true) {
             let error = error.to_string();
             record!(events::PLATFORM_LOST, error = error.as_str());
         }
     }
 
-    /// A call was answered. Wakes watches if the store had been away: one that
-    /// was open during an outage may never say anything again.
+    /// Records an answered call. Wakes watches if the store had been unreachable: a watch that
+    /// was open during an outage may never report anything again.
     pub fn answered(&self, now: Time) {
         self.answered_at.set(Some(now));
-        if self.away.replace(false) {
+        if self.is_unreachable.replace(false) {
             record!(events::PLATFORM_BACK, watches = "restarted");
             self.returned.notify_waiters();
         }
     }
 
-    /// Notes the store's epoch. If it is higher than the previous one, the store was restored
+    /// Records the store's epoch. If it is higher than the previous one, the store was restored
     /// from a backup and has lost its latest writes: logs the restore and wakes watches.
     pub fn note_epoch(&self, epoch: StoreEpoch) {
         let before = *self.epoch.borrow();
@@ -64,34 +64,37 @@
         *current
     }
 
-    /// Peers are answered again; no call of this VM was.
+    /// Records that the store answers peers again, although it has answered no call of this VM.
     pub fn heard_back(&self) {
-        if self.away.replace(false) {
-            record!(events::PLATFORM_BACK, watches = "heard of from peers");
+        if self.is_unreachable.replace(false) {
+            record!(events::PLATFORM_BACK, watches = "reported by peers");
             self.returned.notify_waiters();
         }
     }
 
-    /// How long ago a call was last answered; `None` while calls fail.
+    /// Time since a call was last answered; `None` while calls fail.
     #[must_use]
     pub fn age(&self, now: Time) -> Option<Duration> {
-        let at = self.answered_at.get().filter(|_| !self.away.get())?;
+        let at = self
+            .answered_at
+            .get()
+            .filter(|_| !self.is_unreachable.get())?;
         Some(now.saturating_sub(at))
     }
 
-    /// The same in milliseconds.
+    /// [`Self::age`] in milliseconds.
     #[must_use]
     pub fn age_ms(&self, now: Time) -> Option<u64> {
         self.age(now).map(|age| age.as_millis() as u64)
     }
 
-    /// Whether calls fail.
+    /// Whether calls to the store currently fail.
     #[must_use]
     pub fn is_away(&self) -> bool {
-        self.away.get()
+        self.is_unreachable.get()
     }
 
-    /// Waits for the store's return.
+    /// Waits until the store is reachable again or has been restored.
     pub async fn returned(&self) {
         self.returned.notified().await;
     }
--- a/trouttrack_front/src/state/suspects.rs
+++ b/trouttrack_front/src/state/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests under which upstreams ended, as far as this VM knows.
+//! Quarantine of requests during which upstreams crashed, as far as this VM knows.
 
 use super::clock::Clock;
 use super::upstreams::Upstream;
@@ -9,55 +9,57 @@
 use trouttrack_core::upstream::Incarnation;
 use trouttrack_telemetry::{events, record};
 
-/// Requests that are told to a VM that holds others: with two ends each some 4 kB.
-const MOST_TOLD: usize = 48;
+/// Limit on the requests sent to a peer whose quarantine differs; with two crashes recorded
+/// for each, a message has about 4 kB.
+const MAX_SUSPECTS_PER_MESSAGE: usize = 48;
 
-/// Requests under which upstreams ended, and what the other VMs are to hear of them.
+/// The quarantine table, and the changes still to be sent to peers and to the store.
 #[derive(Debug)]
 pub struct Suspects {
     clock: Clock,
     table: RefCell<Quarantine>,
-    /// Those of which the other VMs are to hear at once.
-    to_tell: RefCell<Vec<Fingerprint>>,
+    /// Requests whose state must be sent to peers immediately.
+    pending_for_peers: RefCell<Vec<Fingerprint>>,
     news: Notify,
-    /// Those that are held from now on, or no more, and are to be kept accordingly.
-    to_keep: RefCell<Vec<Fingerprint>>,
-    kept: Notify,
+    /// Requests whose hold has begun or ended and must be updated in the store.
+    changed_holds: RefCell<Vec<Fingerprint>>,
+    holds_changed: Notify,
 }
 
 impl Suspects {
-    /// Nothing is known yet.
+    /// Creates an empty quarantine.
     #[must_use]
     pub fn new(clock: Clock, settings: QuarantineSettings) -> Self {
         Self {
             clock,
             table: RefCell::new(Quarantine::new(settings)),
-            to_tell: RefCell::default(),
+            pending_for_peers: RefCell::default(),
             news: Notify::new(),
-            to_keep: RefCell::default(),
-            kept: Notify::new(),
+            changed_holds: RefCell::default(),
+            holds_changed: Notify::new(),
         }
     }
 
-    /// Whether nothing is known against any request.
+    /// Whether no request has a crash recorded.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.table.borrow().is_empty()
     }
 
-    /// How many requests are held.
+    /// Number of quarantined requests.
     #[must_use]
     pub fn held(&self) -> usize {
         self.table.borrow().held(self.clock.now())
     }
 
-    /// Whether a request is to be run by no upstream.
+    /// The hold on a request, if it must not be sent to any upstream.
     #[must_use]
     pub fn hold(&self, request: Fingerprint) -> Option<Hold> {
         self.table.borrow().hold(self.clock.now(), request)
     }
 
-    /// An upstream ended while it ran a request of this VM: the other VMs hear of it.
+    /// Records that an upstream crashed while running a request of this VM, and notifies the
+    /// other VMs.
     pub fn ended(&self, request: Fingerprint, upstream: &Upstream) {
         let now = self.clock.now();
         let was_held = self.hold(request).is_some();
@@ -77,26 +79,26 @@
         );
         if !was_held {
             self.log_hold(request, "own");
-            self.keep(request);
+            self.hold_changed(request);
         }
-        self.tell(request);
+        self.notify_peers(request);
     }
 
-    /// A run of a request came to its end.
+    /// Records that a request ran to completion.
     pub fn ran_well(&self, request: Fingerprint) {
         let now = self.clock.now();
         let was_held = self.hold(request).is_some();
         if self.table.borrow_mut().ran_well(now, request) {
             record!(events::RAN_WELL, fingerprint = text(request).as_str());
-            self.tell(request);
+            self.notify_peers(request);
         }
         if was_held {
-            // A call to the store costs, and only what was held lies there.
-            self.keep(request);
+            // Only held requests are in the store; avoid a store call for all others.
+            self.hold_changed(request);
         }
     }
 
-    /// A request that VMs held before, read from the store, where it lies already.
+    /// Restores a hold that was read from the store.
     pub fn restore(&self, request: Fingerprint, ended: &[Incarnation]) {
         let now = self.clock.now();
         if self.table.borrow_mut().restore(now, request, ended) {
@@ -104,92 +106,102 @@
         }
     }
 
-    /// The upstreams whose ends count against a request.
+    /// The upstream incarnations whose crashes count against a request.
     #[must_use]
     pub fn ended_under(&self, request: Fingerprint) -> Vec<Incarnation> {
         self.table.borrow().ended_under(request)
     }
 
-    /// The requests that are held, and those that may have been held before.
+    /// The requests that are held or may have been held before.
     #[must_use]
     pub fn held_now_or_before(&self) -> Vec<Fingerprint> {
         let table = self.table.borrow();
         table.held_now_or_before(self.clock.now()).collect()
     }
 
-    fn keep(&self, request: Fingerprint) {
-        self.to_keep.borrow_mut().push(request);
-        self.kept.notify_one();
+    fn hold_changed(&self, request: Fingerprint) {
+        self.changed_holds.borrow_mut().push(request);
+        self.holds_changed.notify_one();
     }
 
-    /// Waits for requests that are held from now on, or no more.
+    /// Waits for holds to begin or end and returns the requests concerned.
     pub async fn changed(&self) -> Vec<Fingerprint> {
         loop {
-            let changed = std::mem::take(&mut *self.to_keep.borrow_mut());
+            let changed = std::mem::take(&mut *self.changed_holds.borrow_mut());
             if !changed.is_empty() {
                 return changed;
             }
-            self.kept.notified().await;
+            self.holds_changed.notified().await;
         }
     }
 
-    fn tell(&self, request: Fingerprint) {
-        self.to_tell.borrow_mut().push(request);
+    fn notify_peers(&self, request: Fingerprint) {
+        self.pending_for_peers.borrow_mut().push(request);
         self.news.notify_one();
     }
 
-    /// Waits until the other VMs are to hear of something at once.
+    /// Waits until there are changes to send to peers immediately.
     pub async fn news(&self) {
         self.news.notified().await;
     }
 
-    /// Those of which other VMs are to hear at once.
+    /// Removes and returns the requests whose state must be sent to peers immediately.
     #[must_use]
     pub fn take_news(&self) -> Vec<Fingerprint> {
-        let mut requests = std::mem::take(&mut *self.to_tell.borrow_mut());
+        let mut requests = std::mem::take(&mut *self.pending_for_peers.borrow_mut());
         requests.sort_unstable();
         requests.dedup();
         requests
     }
 
-    /// What is told of some requests.
+    /// The records of these requests, as sent to peers.
     #[must_use]
     pub fn told_of(&self, requests: &[Fingerprint]) -> Vec<Suspect> {
         self.table.borrow().told_of(self.clock.now(), requests)
     }
 
-    /// What a VM is told that holds other requests.
+    /// The records sent to a peer whose quarantine differs from this one.
     #[must_use]
     pub fn told(&self) -> Vec<Suspect> {
-        self.table.borrow().told(self.clock.now(), MOST_TOLD)
+        self.table
+            .borrow()
+            .told(self.clock.now(), MAX_SUSPECTS_PER_MESSAGE)
     }
 
-    /// Takes in what a peer knows. Returns what it is to be told in turn. Where several
-    /// single ends have come together here, all VMs hear of it.
+    /// Merges the records of a peer. Returns those of which this VM knows more, to be sent back
+    /// to the peer. All VMs are notified if the merge combines crashes that were known
+    /// separately into a hold.
     pub fn hear(&self, told: &[Suspect], peer: &str) -> Vec<Suspect> {
         let heard = self.table.borrow_mut().hear(self.clock.now(), told);
         for &request in &heard.held {
             self.log_hold(request, peer);
-            self.keep(request);
-            let said_by_one = |s: &&Suspect| s.fingerprint == request;
-            let known_there = told.iter().find(said_by_one).map_or(0, |s| s.ends.len());
-            if self.hold(request).is_some_and(|h| h.ends > known_there) {
-                self.tell(request);
+            self.hold_changed(request);
+            let is_same_request = |s: &&Suspect| s.fingerprint == request;
+            let ends_known_to_peer = told
+                .iter()
+                .find(is_same_request)
+                .map_or(0, |s| s.ends.len());
+            if self
+                .hold(request)
+                .is_some_and(|h| h.ends > ends_known_to_peer)
+            {
+                self.notify_peers(request);
             }
         }
         self.told_of(&heard.known_better)
     }
 
-    /// A sum over what is held: VMs with the same one hold the same.
+    /// Checksum of the quarantine; VMs with equal checksums hold the same requests.
     #[must_use]
     pub fn checksum(&self) -> u64 {
         self.table.borrow().checksum()
     }
 
-    /// Forgets what is older than a hold.
+    /// Drops records older than the hold period.
     pub fn expire(&self) {
         let over = self.table.borrow_mut().expire(self.clock.now());
-        over.into_iter().for_each(|request| self.keep(request));
+        over.into_iter()
+            .for_each(|request| self.hold_changed(request));
     }
 
     fn log_hold(&self, request: Fingerprint, told_by: &str) {
@@ -205,7 +217,7 @@
     }
 }
 
-/// A fingerprint as it stands in the logs.
+/// Formats a fingerprint for logs.
 #[must_use]
 pub fn text(request: Fingerprint) -> String {
     format!("{request:032x}")
--- a/trouttrack_front/src/state/ticket.rs
+++ b/trouttrack_front/src/state/ticket.rs
@@ -1,4 +1,4 @@
-//! A request's row of the tables, for as long as its attempt lasts.
+//! RAII guard for a request's row in the scheduler tables.
 
 use super::scheduler::Scheduler;
 use std::cell::Cell;
@@ -6,20 +6,20 @@
 use trouttrack_core::world::{RequestKey, Target};
 use trouttrack_core::{Time, UpstreamId};
 
-/// Holds a request's row of the tables. A ticket that is dropped says that the
-/// attempt is over, so no row outlives its request.
+/// Owns a request's row in the scheduler tables. Dropping the ticket ends the attempt, so
+/// that no row outlives its request.
 #[derive(Debug)]
 pub struct Ticket {
     scheduler: Rc<Scheduler>,
     key: RequestKey,
-    /// Whether the attempt speaks against the upstream.
+    /// Whether the attempt counts as a failure of the upstream.
     fault: Cell<bool>,
-    /// The tokens that a whole answer had.
+    /// Token count of a complete answer.
     tokens: Cell<Option<u64>>,
 }
 
 impl Ticket {
-    /// The row of a request that was just submitted.
+    /// Creates the ticket of a submitted request.
     pub(super) fn new(scheduler: Rc<Scheduler>, key: RequestKey) -> Self {
         Self {
             scheduler,
@@ -29,21 +29,21 @@
         }
     }
 
-    /// The generation has written this many tokens.
+    /// Records the number of tokens generated so far.
     pub fn progress(&self, tokens: u64) {
-        let begins = self.scheduler.world.borrow_mut().progress(self.key, tokens);
-        if begins {
-            // Others wait for the engine to be done with its prompt.
+        let is_first_token = self.scheduler.world.borrow_mut().progress(self.key, tokens);
+        if is_first_token {
+            // The other VMs count the prompt as loading until they are notified.
             self.scheduler.tell_soon();
         }
     }
 
-    /// The attempt failed in a way that speaks against the upstream.
+    /// Records a failure that counts against the upstream.
     pub fn fault(&self) {
         self.fault.set(true);
     }
 
-    /// The attempt found nobody there: no connection, or no word in time.
+    /// Records that the upstream could not be reached: no connection, or no answer in time.
     pub fn unreachable(&self) {
         self.fault.set(true);
         let now = self.now();
@@ -51,14 +51,14 @@
         world.unreachable(now, self.key);
     }
 
-    /// The upstream turned the request away: other VMs are told.
+    /// Records that the upstream rejected the request, and notifies the other VMs.
     pub fn refused(&self) {
         let now = self.now();
         self.scheduler.world.borrow_mut().refused(now, self.key);
         self.scheduler.tell_soon();
     }
 
-    /// The attempt's connection ended before any answer: other VMs are told.
+    /// Records that the connection closed before any answer, and notifies the other VMs.
     pub fn lost(&self) {
         self.fault.set(true);
         let now = self.now();
@@ -66,13 +66,13 @@
         self.scheduler.tell_soon();
     }
 
-    /// The answer ended by itself after `tokens`.
+    /// Records that the answer completed after `tokens`.
     pub fn complete(&self, tokens: u64) {
         self.tokens.set(Some(tokens));
     }
 
-    /// The best upstream to move the generation to, away from one in the
-    /// failure domain `home`.
+    /// Selects the best upstream to move the generation to, away from one in the failure domain
+    /// `home`.
     #[must_use]
     pub fn target(&self, home: &str, avoid: &[UpstreamId]) -> Option<Target> {
         let now = self.now();
@@ -80,13 +80,13 @@
         world.target(now, self.key, home, avoid)
     }
 
-    /// Tokens of memory that the generation holds.
+    /// Memory that the generation occupies, in tokens.
     #[must_use]
     pub fn held_tokens(&self) -> f64 {
         self.scheduler.world.borrow().held_tokens(self.key)
     }
 
-    /// The generation counts at another upstream from now on.
+    /// Accounts the generation to another upstream from now on.
     pub fn relocate(&self, to: &str) {
         let now = self.now();
         let mut world = self.scheduler.world.borrow_mut();
@@ -105,14 +105,14 @@
         let now = self.now();
         self.scheduler.waiting.borrow_mut().remove(&self.key);
         let mut world = self.scheduler.world.borrow_mut();
-        let frees = world.ended(now, self.key, self.fault.get(), self.tokens.get());
-        let waits = world.queued() > 0;
+        let releases_memory = world.ended(now, self.key, self.fault.get(), self.tokens.get());
+        let has_queued = world.queued() > 0;
         drop(world);
-        if frees {
-            // Others count its memory, and its prompt if it has not begun.
+        if releases_memory {
+            // The other VMs count its memory, and its prompt if it has not started.
             self.scheduler.tell_soon();
         }
-        if waits {
+        if has_queued {
             self.scheduler.tick();
         }
     }
--- a/trouttrack_front/src/state/upstreams.rs
+++ b/trouttrack_front/src/state/upstreams.rs
@@ -1,4 +1,4 @@
-//! The upstreams that the store lists.
+//! The upstreams listed in the store.
 
 use super::clock::Clock;
 use super::deferred::DeferredEntries;
@@ -19,18 +19,18 @@
 /// One incarnation of an upstream.
 #[derive(Debug)]
 pub struct Upstream {
-    /// The upstream's id.
+    /// The id, shared by all incarnations.
     pub id: UpstreamId,
-    /// When this life of it began, in Unix milliseconds; 0 if it does not say.
+    /// Start time of this incarnation in Unix milliseconds; 0 if the entry has none.
     pub born: u64,
-    /// Where it takes requests.
+    /// Address on which it accepts requests.
     pub addr: SocketAddr,
     /// The service it runs.
     pub service: ServiceId,
-    /// Where it stands.
+    /// The failure domain it runs in.
     pub failure_domain: FailureDomain,
     slots: usize,
-    /// Until when it is slow after its start.
+    /// End of the warm-up period.
     warm_at: Cell<Time>,
     departure: watch::Sender<Option<Departure>>,
 }
@@ -49,36 +49,36 @@
         }
     }
 
-    /// This life of it.
+    /// Identifies this incarnation by id and start time.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         Incarnation::new(&self.id, self.born)
     }
 
-    /// Requests that it works on at once.
+    /// Number of requests it processes concurrently.
     #[must_use]
     pub fn slots(&self) -> usize {
         self.slots
     }
 
-    /// How much longer it is slow after its start.
+    /// Remaining warm-up time.
     #[must_use]
     pub fn cold_for(&self, now: Time) -> Duration {
         self.warm_at.get().saturating_sub(now)
     }
 
-    /// Whether an entry is one of this life.
-    fn is_of(&self, entry: &UpstreamEntry) -> bool {
+    /// Whether an entry describes this incarnation.
+    fn is_same_incarnation(&self, entry: &UpstreamEntry) -> bool {
         self.addr == entry.addr && self.service == entry.service && self.born == entry.born
     }
 
-    /// Whether and when it leaves.
+    /// Watches the departure; `None` while the upstream is not leaving.
     #[must_use]
     pub fn departure(&self) -> watch::Receiver<Option<Departure>> {
         self.departure.subscribe()
     }
 
-    /// Changes what is known of its leaving.
+    /// Updates the departure, if there is one.
     pub fn update_departure(&self, f: impl FnOnce(&mut Departure)) {
         self.departure.send_if_modified(|d| match d {
             Some(departure) => {
@@ -89,46 +89,45 @@
         });
     }
 
-    /// Whether it has announced that it leaves.
+    /// Whether its departure is known.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.departure.borrow().is_some()
     }
 }
 
-/// What an entry changes.
+/// The effect of an entry on the table.
 #[derive(Debug, Default)]
 pub struct Seen {
-    /// Another life of the upstream, which is over: what was believed of it is of no use
-    /// for the one that is listed now.
+    /// The incarnation that this entry replaces, if any. State collected about it does not
+    /// apply to the new one.
     pub before: Option<Rc<Upstream>>,
-    /// The upstream, if it has just announced that it leaves.
+    /// The upstream, if this entry is the first to announce its departure.
     pub leaves: Option<Rc<Upstream>>,
 }
 
-/// Everything that the store lists, and what may still come back.
+/// All upstreams listed in the store, and those whose entries lapsed and may come back.
 #[derive(Debug)]
 pub struct Upstreams {
     clock: Clock,
     by_id: RefCell<HashMap<UpstreamId, Rc<Upstream>>>,
     entries: RefCell<Entries>,
-    /// The removed upstreams, and the listed entries whose removal a restore of the store has
-    /// undone.
+    /// Removed upstreams, and listed entries whose removal was undone by a restore of the store.
     deferred: RefCell<DeferredEntries>,
     listed: Cell<bool>,
-    /// The store's revision up to which the entries are known.
+    /// Store revision up to which the entries are known.
     revision: Cell<Revision>,
-    /// The newest revision of the store that is known of.
+    /// Highest store revision seen so far.
     store_at: Cell<Revision>,
-    /// Whether upstreams here say when they started. Where they do, an entry that does not
-    /// is another writer's.
+    /// Whether upstreams of this fleet write their start time. If so, an entry without one
+    /// was written by something else.
     say_births: Cell<bool>,
-    /// The services by which all rows were made last.
-    made_for: RefCell<Option<Vec<ServiceSpec>>>,
+    /// The services used when all rows were last rebuilt.
+    rows_made_for: RefCell<Option<Vec<ServiceSpec>>>,
 }
 
 impl Upstreams {
-    /// Nothing is listed yet.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(clock: Clock) -> Self {
         Self {
@@ -140,24 +139,24 @@
             revision: Cell::default(),
             store_at: Cell::default(),
             say_births: Cell::new(false),
-            made_for: RefCell::default(),
+            rows_made_for: RefCell::default(),
         }
     }
 
-    /// An upstream by its incarnation's id.
+    /// Returns the upstream with this id.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<Rc<Upstream>> {
         self.by_id.borrow().get(id).cloned()
     }
 
-    /// The time now, as these tables count it.
+    /// The current time on this table's clock.
     #[must_use]
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// Every upstream that is known, and whether its entry has disappeared and may come
-    /// back.
+    /// Calls `f` for every known upstream, with `true` if its entry has lapsed, that is, has
+    /// disappeared but may come back.
     pub fn for_each(&self, mut f: impl FnMut(&Upstream, bool)) {
         let entries = self.entries.borrow();
         for upstream in self.by_id.borrow().values() {
@@ -165,41 +164,41 @@
         }
     }
 
-    /// The store's revision up to which the entries are known.
+    /// Store revision up to which the entries are known.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.revision.get()
     }
 
-    /// The entries are known up to a revision.
+    /// Records that the entries are known up to a revision.
     pub fn advance(&self, revision: Revision) {
         self.revision.set(self.revision.get().max(revision));
     }
 
-    /// The store was seen at a revision.
+    /// Records that the store has reached a revision.
     pub fn store_is_at(&self, revision: Revision) {
         self.store_at.set(self.store_at.get().max(revision));
     }
 
-    /// Upstreams here say when they started.
+    /// Records that upstreams of this fleet write their start time.
     pub fn set_say_births(&self) {
         self.say_births.set(true);
     }
 
-    /// Whether upstreams here say when they started.
+    /// Whether upstreams of this fleet write their start time.
     #[must_use]
     pub fn say_births(&self) -> bool {
         self.say_births.get()
     }
 
-    /// Whether the store has changed since the entries were looked at; the
-    /// change may be one of something else.
+    /// Whether the store has changed since the entries were last read. The change may
+    /// concern other keys.
     #[must_use]
     pub fn may_have_missed(&self) -> bool {
         self.is_listed() && self.store_at.get() > self.revision.get()
     }
 
-    /// Whether everything was listed at least once.
+    /// Whether a full list has been received.
     #[must_use]
     pub fn is_listed(&self) -> bool {
         self.listed.get()
@@ -224,13 +223,13 @@
         self.deferred.borrow_mut().take_due(self.clock.now())
     }
 
-    /// Takes in an entry, and says what it changes.
+    /// Applies an entry and returns its effect. An entry of an earlier incarnation is ignored.
     pub fn seen(&self, id: &str, revision: Revision, entry: UpstreamEntry) -> Seen {
         let known = self.get(id);
-        let life = Incarnation::new(id, entry.born);
+        let incarnation = Incarnation::new(id, entry.born);
         if known
             .as_ref()
-            .is_some_and(|u| u.incarnation().is_after(&life))
+            .is_some_and(|u| u.incarnation().is_after(&incarnation))
         {
             record!(
                 events::EARLIER_LIFE,
@@ -244,25 +243,25 @@
         self.entries.borrow_mut().listed(id);
         let leaving = entry.leaving;
         let (upstream, before) = match known {
-            Some(known) if known.is_of(&entry) => {
-                self.note_cold(&known, entry.cold_for);
+            Some(known) if known.is_same_incarnation(&entry) => {
+                self.update_cold_for(&known, entry.cold_for);
                 (known, None)
             }
             before => (self.add(id, revision, entry), before),
         };
         if let Some(before) = &before {
-            self.depart(before, self.noticed(), "another life");
+            self.depart(before, self.departure_now(), "new incarnation");
         }
-        let leaves = leaving && self.depart(&upstream, self.noticed(), "announced");
+        let leaves = leaving && self.depart(&upstream, self.departure_now(), "announced");
         Seen {
             before,
             leaves: leaves.then_some(upstream),
         }
     }
 
-    /// Notes for how long a known upstream is cold: it may turn cold at any time, and
-    /// warm before its time.
-    fn note_cold(&self, upstream: &Upstream, cold_for: Duration) {
+    /// Updates the remaining warm-up time of a known upstream. An upstream may turn cold at any
+    /// time, and may be warm earlier than it announced.
+    fn update_cold_for(&self, upstream: &Upstream, cold_for: Duration) {
         upstream.warm_at.set(self.clock.now() + cold_for);
         if !cold_for.is_zero() {
             record!(
@@ -273,11 +272,10 @@
         }
     }
 
-    /// Puts an upstream in the table: it is new, or its address or service has
-    /// changed.
+    /// Inserts an upstream that is new, or whose address, service or start time has changed.
     fn add(&self, id: &str, revision: Revision, entry: UpstreamEntry) -> Rc<Upstream> {
         if self.is_listed() {
-            log_seen(id, revision, &entry);
+            log_new_upstream(id, revision, &entry);
         }
         let new = Rc::new(Upstream::new(id, entry, self.clock.now()));
         let mut by_id = self.by_id.borrow_mut();
@@ -285,7 +283,7 @@
         new
     }
 
-    /// Notes that an upstream leaves. Returns whether that is news.
+    /// Marks an upstream as leaving. Returns `false` if it already was.
     pub fn depart(&self, upstream: &Upstream, departure: Departure, how: &str) -> bool {
         if upstream.is_leaving() {
             return false;
@@ -299,12 +297,13 @@
         true
     }
 
-    /// A departure that the store tells of now.
-    fn noticed(&self) -> Departure {
+    /// A departure noticed at the current time.
+    fn departure_now(&self) -> Departure {
         Departure::noticed(self.clock.now())
     }
 
-    /// An entry disappeared. Returns the upstream if it is gone.
+    /// Handles the removal of an entry. Returns the upstream if it is removed from the table
+    /// now rather than kept as lapsed.
     pub fn removed(&self, id: &str) -> Option<Rc<Upstream>> {
         self.deferred.borrow_mut().remove(id);
         let now = self.clock.now();
@@ -315,18 +314,19 @@
             record!(events::ENTRY_LAPSED, upstream = id);
         }
         drop(entries);
-        if gone { self.take_out(id) } else { None }
+        if gone { self.remove_known(id) } else { None }
     }
 
-    /// An entry cannot be read, so nobody vouches for the upstream any more: it is gone at
-    /// once, also during an outage of the store. Returns it if it was known.
+    /// Removes an upstream whose entry cannot be parsed. An invalid entry does not confirm that
+    /// the upstream is alive, so it is removed at once, even during an outage of the store.
+    /// Returns it if it was known.
     pub fn disowned(&self, id: &str) -> Option<Rc<Upstream>> {
         self.deferred.borrow_mut().remove(id);
         self.entries.borrow_mut().forget(id);
-        self.take_out(id)
+        self.remove_known(id)
     }
 
-    /// Everything was listed as of a revision. Returns the upstreams that are gone.
+    /// Applies the ids of a full list as of a revision. Returns the upstreams that were removed.
     pub fn listed(&self, ids: &HashSet<&str>, revision: Revision) -> Vec<Rc<Upstream>> {
         let is_first = self.deferred.borrow_mut().retain_listed(ids, revision);
         if is_first && self.listed.get() {
@@ -341,67 +341,67 @@
         missing.iter().filter_map(|id| self.removed(id)).collect()
     }
 
-    /// A peer holds an upstream whose entry had disappeared around an outage of the store.
+    /// Marks an entry as lapsed because a peer reported it so: it disappeared around an outage
+    /// of the store.
     pub fn lapsed(&self, id: &str) {
         self.entries.borrow_mut().lapsed(id);
     }
 
-    /// Takes out the upstreams whose entries lapsed and can no longer come
-    /// back.
+    /// Removes and returns the upstreams whose entries lapsed and can no longer come back.
     pub fn expired(&self) -> Vec<Rc<Upstream>> {
         let gone = self.entries.borrow_mut().gone(self.clock.now());
-        gone.iter().filter_map(|id| self.take_out(id)).collect()
+        gone.iter().filter_map(|id| self.remove_known(id)).collect()
     }
 
-    fn take_out(&self, id: &str) -> Option<Rc<Upstream>> {
+    fn remove_known(&self, id: &str) -> Option<Rc<Upstream>> {
         let upstream = self.by_id.borrow_mut().remove(id)?;
         record!(events::UPSTREAM_GONE, upstream = id);
         let mut deferred = self.deferred.borrow_mut();
         deferred.record_removal(self.clock.now(), &upstream.incarnation(), self.revision());
         drop(deferred);
-        self.depart(&upstream, self.noticed(), "entry disappeared");
+        self.depart(&upstream, self.departure_now(), "entry disappeared");
         Some(upstream)
     }
 
-    /// A call to the store failed.
+    /// Records that a call to the store failed.
     pub fn store_lost(&self) {
         self.entries.borrow_mut().store_lost();
     }
 
-    /// A call to the store was answered.
+    /// Records that a call to the store was answered.
     pub fn store_back(&self) {
         self.entries.borrow_mut().store_back(self.clock.now());
     }
 
-    /// All rows were made by these services.
+    /// Records the services for which all rows were rebuilt.
     pub fn set_rows_for(&self, services: &[ServiceSpec]) {
-        *self.made_for.borrow_mut() = Some(services.to_vec());
+        *self.rows_made_for.borrow_mut() = Some(services.to_vec());
     }
 
-    /// Whether all rows say what they are to say by these services.
+    /// Whether all rows are up to date for these services.
     #[must_use]
     pub fn has_rows_for(&self, services: &[ServiceSpec]) -> bool {
-        self.made_for.borrow().as_deref() == Some(services)
+        self.rows_made_for.borrow().as_deref() == Some(services)
     }
 
-    /// The rows that decisions are made on, of all upstreams.
+    /// The scheduler rows of all upstreams, sorted by id.
     #[must_use]
     pub fn specs(&self, table: &RouteTable) -> Vec<Spec> {
         let by_id = self.by_id.borrow();
         let mut specs: Vec<Spec> = by_id.values().map(|u| spec(u, table)).collect();
-        // The order of candidates must not depend on the map's.
+        // The order of candidates must not depend on the map's iteration order.
         specs.sort_unstable_by(|a, b| a.id.cmp(&b.id));
         specs
     }
 
-    /// The row that decisions about one of them are made on.
+    /// The scheduler row of one upstream.
     #[must_use]
     pub fn spec_of(&self, id: &str, table: &RouteTable) -> Option<Spec> {
         let by_id = self.by_id.borrow();
         by_id.get(id).map(|u| spec(u, table))
     }
 
-    /// Those that have announced that they leave.
+    /// Ids of the upstreams that are leaving.
     #[must_use]
     pub fn leaving(&self) -> Vec<UpstreamId> {
         let by_id = self.by_id.borrow();
@@ -410,9 +410,9 @@
     }
 }
 
-/// Logs an upstream that is new. Those of a first list are told by their number: ten
-/// thousand lines at once would crowd out all others.
-fn log_seen(id: &str, revision: Revision, entry: &UpstreamEntry) {
+/// Logs a new upstream. For the first list only the number of upstreams is logged: ten
+/// thousand lines at once would displace all other log lines.
+fn log_new_upstream(id: &str, revision: Revision, entry: &UpstreamEntry) {
     record!(
         events::UPSTREAM_SEEN,
         upstream = id,
