--- a/trouttrack_front/tests/front/bad_input.rs
+++ b/trouttrack_front/tests/front/bad_input.rs
@@ -1,4 +1,4 @@
-//! Input that is not what it should be.
+//! Malformed, oversized and truncated requests.
 
 use crate::support::{Bed, HOST, KEY, PLAIN, plain, until};
 use std::net::SocketAddr;
@@ -6,30 +6,30 @@
 use tokio::net::TcpStream;
 use trouttrack_platform_standin::{CallerRequest, Upstream};
 
-/// Sends bytes and returns what comes until the connection is closed.
-async fn raw(addr: SocketAddr, bytes: &[u8]) -> String {
+/// Sends bytes and returns everything received until the connection closes.
+async fn send_raw(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(addr).await.expect("a connection");
     stream.write_all(bytes).await.expect("written");
     let mut answer = Vec::new();
-    // A reset after the answer is as good as a close.
+    // A connection reset after the answer counts as a close.
     drop(stream.read_to_end(&mut answer).await);
     String::from_utf8_lossy(&answer).into_owned()
 }
 
 #[actix_rt::test]
-async fn what_is_no_request_runs_nothing_and_the_rest_goes_on() {
+async fn malformed_requests_run_nothing_and_valid_requests_are_served() {
     let bed = Bed::new(PLAIN).await;
     let inputs: [&[u8]; 6] = [
         b"nonsense\r\n\r\n",
         b"GET /many/x HTTP/1.1\r\n\r\n",
         b"POST /many/x HTTP/1.1\r\nHost: desk.example\r\nContent-Length: -1\r\n\r\n",
-        // A second request hidden behind two lengths.
+        // Request smuggling with two different content lengths.
         b"POST /many/x HTTP/1.1\r\nHost: desk.example\r\nContent-Length: 4\r\nContent-Length: 9\r\n\r\nabcdGET /",
         b"POST /many/x HTTP/1.1\r\nHost: desk.example\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /many/y HTTP/1.1\r\n\r\n",
         b"GET /many/x HTTP/1.1\r\nHost: desk.example\r\nBad Header: 1\r\n\r\n",
     ];
     for input in inputs {
-        let answer = raw(bed.addr(), input).await;
+        let answer = send_raw(bed.addr(), input).await;
         let shown = String::from_utf8_lossy(input);
         assert!(
             answer.is_empty() || answer.starts_with("HTTP/1.1 4"),
@@ -50,7 +50,7 @@
 }
 
 #[actix_rt::test]
-async fn bodies_and_heads_have_bounds() {
+async fn oversized_bodies_and_headers_are_rejected() {
     let bed = Bed::new(PLAIN).await;
     let mut large = plain("r1", "many").post("");
     large.body = vec![b'x'; 20_000].into();
@@ -65,16 +65,19 @@
 }
 
 #[actix_rt::test]
-async fn a_body_that_breaks_off_runs_nothing() {
+async fn a_truncated_body_runs_nothing() {
     let bed = Bed::new(PLAIN).await;
     let head = format!(
         "POST /once/x HTTP/1.1\r\nHost: {HOST}\r\nAuthorization: Bearer {KEY}\r\nContent-Length: 50\r\n\r\nhalf"
     );
     let mut stream = TcpStream::connect(bed.addr()).await.expect("a connection");
     stream.write_all(head.as_bytes()).await.expect("written");
-    until("it is taken", || bed.front.front.lifecycle.in_flight() > 0).await;
+    until("the request is accepted", || {
+        bed.front.front.lifecycle.in_flight() > 0
+    })
+    .await;
     drop(stream);
-    until("it is given up", || {
+    until("the request is abandoned", || {
         bed.front.front.lifecycle.in_flight() == 0
     })
     .await;
@@ -82,12 +85,12 @@
 }
 
 #[actix_rt::test]
-async fn a_chunked_body_arrives_whole() {
+async fn a_chunked_body_arrives_complete() {
     let bed = Bed::new(PLAIN).await;
     let bytes = format!(
         "POST /once/x HTTP/1.1\r\nHost: {HOST}\r\nAuthorization: Bearer {KEY}\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n"
     );
-    let answer = raw(bed.addr(), bytes.as_bytes()).await;
+    let answer = send_raw(bed.addr(), bytes.as_bytes()).await;
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     let arrivals: Vec<_> = bed.upstreams.iter().flat_map(Upstream::arrivals).collect();
     assert_eq!(arrivals[0].body, b"abcdefg");
--- a/trouttrack_front/tests/front/leaving.rs
+++ b/trouttrack_front/tests/front/leaving.rs
@@ -1,9 +1,9 @@
-//! Upstreams that leave, with a word and without.
+//! Departure of upstreams, announced and unannounced.
 
 use crate::support::{Bed, PLAIN, plain, until};
 use trouttrack_platform_standin::StoreFault;
 
-async fn serves_only(bed: &Bed, kept: usize) {
+async fn assert_only_serves(bed: &Bed, kept: usize) {
     let other = 1 - kept;
     let before = bed.upstreams[other].arrivals().len();
     for n in 0..8 {
@@ -19,53 +19,54 @@
 }
 
 #[actix_rt::test]
-async fn one_that_announces_it_gets_no_new_work() {
+async fn an_upstream_that_announces_its_departure_gets_no_new_work() {
     let bed = Bed::new(PLAIN).await;
     bed.store.put_upstream(&bed.upstreams[0], true);
     until("it leaves", || is_leaving(&bed, 0)).await;
-    serves_only(&bed, 1).await;
+    assert_only_serves(&bed, 1).await;
 }
 
 #[actix_rt::test]
-async fn one_whose_entry_disappears_gets_no_new_work() {
+async fn an_upstream_whose_entry_disappears_gets_no_new_work() {
     let bed = Bed::new(PLAIN).await;
     bed.store.remove_upstream("u1");
     until("it leaves", || is_leaving(&bed, 0)).await;
-    serves_only(&bed, 1).await;
+    assert_only_serves(&bed, 1).await;
 }
 
 #[actix_rt::test]
-async fn it_gets_none_while_the_store_is_away_either() {
+async fn a_leaving_upstream_gets_no_new_work_during_a_store_outage() {
     let bed = Bed::new(PLAIN).await;
     bed.store.put_upstream(&bed.upstreams[0], true);
     until("it leaves", || is_leaving(&bed, 0)).await;
     bed.store.set_fault(StoreFault::Refuse);
-    serves_only(&bed, 1).await;
+    assert_only_serves(&bed, 1).await;
 }
 
 #[actix_rt::test]
-async fn a_watch_that_hears_nothing_is_found_out() {
+async fn a_watch_that_reports_no_changes_is_detected() {
     let bed = Bed::new(PLAIN).await;
     bed.store.set_fault(StoreFault::DeafWatches);
     bed.store.put_upstream(&bed.upstreams[0], true);
-    // The configuration's confirmation shows that the store has moved on.
+    // The next confirmation of the configuration carries a higher store revision, which
+    // reveals that the watch missed a change.
     bed.store.set_fault(StoreFault::None);
     until("it leaves", || is_leaving(&bed, 0)).await;
 }
 
 #[actix_rt::test]
-async fn lost_history_is_made_up_for_by_listing() {
+async fn a_watch_with_compacted_history_falls_back_to_listing() {
     let bed = Bed::new(PLAIN).await;
     bed.store.set_fault(StoreFault::DeafWatches);
     bed.store.remove_upstream("u2");
     bed.store.forget_history();
     bed.store.set_fault(StoreFault::None);
     until("it leaves", || is_leaving(&bed, 1)).await;
-    serves_only(&bed, 0).await;
+    assert_only_serves(&bed, 0).await;
 }
 
 #[actix_rt::test]
-async fn entries_that_lapse_in_an_outage_are_used_until_after_it() {
+async fn upstreams_whose_entries_lapse_in_an_outage_stay_in_use() {
     let bed = Bed::new(PLAIN).await;
     bed.store.set_fault(StoreFault::Refuse);
     until("the outage is noticed", || {
@@ -76,12 +77,13 @@
     bed.store.remove_upstream("u1");
     bed.store.remove_upstream("u2");
     bed.store.set_fault(StoreFault::None);
-    until("the return is noticed", || {
+    until("the end of the outage is noticed", || {
         let front = &bed.front.front;
         front.store_contact.age_ms(front.clock.now()).is_some()
     })
     .await;
-    // Both are back, as the platform promises for those that live.
+    // Both write their entries again, which the platform guarantees for upstreams that are
+    // alive.
     bed.store.put_upstream(&bed.upstreams[0], false);
     bed.store.put_upstream(&bed.upstreams[1], false);
     until("keys are confirmed", || bed.front.front.routing.is_fresh()).await;
@@ -91,7 +93,7 @@
 }
 
 #[actix_rt::test]
-async fn after_an_outage_gone_is_gone_also_if_peers_confirm_the_configuration() {
+async fn after_an_outage_a_removal_is_noticed_even_if_peers_confirm_the_configuration() {
     let bed = Bed::new(PLAIN).await;
     let front = bed.front.front.clone();
     bed.store.set_fault(StoreFault::Refuse);
@@ -99,7 +101,8 @@
         front.store_contact.age_ms(front.clock.now()).is_none()
     })
     .await;
-    // Peers' heartbeats confirm from here on, so no call is due for that.
+    // Simulates confirmation by peers' heartbeats, so that this VM makes no confirming call of
+    // its own that would reveal the change.
     let confirmed = front.clone();
     let peers = actix_rt::spawn(async move {
         loop {
@@ -108,7 +111,7 @@
         }
     });
     bed.store.set_fault(StoreFault::None);
-    until("the return is noticed", || {
+    until("the end of the outage is noticed", || {
         front.store_contact.age_ms(front.clock.now()).is_some()
     })
     .await;
--- a/trouttrack_front/tests/front/main.rs
+++ b/trouttrack_front/tests/front/main.rs
@@ -1,4 +1,4 @@
-//! The front against stand-ins of the users' platform.
+//! Integration tests of the front against a simulated platform.
 
 mod bad_input;
 mod config;
--- a/trouttrack_front/tests/front/rate_limits.rs
+++ b/trouttrack_front/tests/front/rate_limits.rs
@@ -1,7 +1,7 @@
-//! What VMs send to an upstream whose rate over all VMs is bounded.
+//! Rate limits that an upstream sets for all VMs together.
 //!
-//! Guards against: an upstream names in its answers the requests a second that it takes from
-//! all VMs together, and VMs that have passed on such an answer send it more.
+//! Guards against: an upstream reports in its answers how many requests a second it accepts
+//! from all VMs together, and VMs that have received such an answer exceed that rate.
 
 use crate::support::{ENGINES, PLAIN, config, plain, settings_in, until};
 use std::cell::Cell;
@@ -14,23 +14,23 @@
 use trouttrack_front::state::{Clock, Scheduler};
 use trouttrack_platform_standin::{Behaviour, CallerRequest, Store, Upstream};
 
-/// What the first upstream names.
-const LIMIT: f64 = 2.0;
-/// The time over which a limit is judged.
+/// The limit reported by the first upstream.
+const LIMIT_PER_SECOND: f64 = 2.0;
+/// Sliding window over which arrivals are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// What an upstream bears in that time: the limit times this, and some more.
-const MOST_OVER: f64 = 1.5;
-const MOST_MORE: f64 = 5.0;
-/// How long after it was first named a limit is judged.
-const SETTLED: Duration = Duration::from_secs(3);
-/// Pause between two requests to one VM; the VMs get theirs in turn.
-const PAUSE: Duration = Duration::from_millis(24);
-/// Where the VMs stand.
-const VMS: [&str; 4] = ["a", "a", "b", "b"];
-/// Retries are not what is bounded here.
-const MANY_RETRIES: &str = "[retry]\nextra = 2000\n";
+/// Arrivals tolerated in a window: the limit times this ratio, plus a constant.
+const TOLERATED_RATIO: f64 = 1.5;
+const TOLERATED_EXTRA: f64 = 5.0;
+/// Time from the first report of a limit until arrivals are counted.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Interval between requests to the same VM; requests go to the VMs in turn.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(24);
+/// Failure domain of each VM.
+const VM_FAILURE_DOMAINS: [&str; 4] = ["a", "a", "b", "b"];
+/// A retry budget large enough not to limit the load of these tests.
+const RETRY_SETTINGS: &str = "[retry]\nextra = 2000\n";
 
-/// VMs in two failure domains, before an upstream in each.
+/// VMs in two failure domains, with one upstream in each.
 struct Fleet {
     store: Store,
     upstreams: [Upstream; 2],
@@ -38,7 +38,7 @@
     answers: Rc<Answers>,
 }
 
-/// How many requests were answered well, and how many were not.
+/// Counts of requests answered with status 200 and of all others.
 #[derive(Default)]
 struct Answers {
     served: Cell<usize>,
@@ -62,11 +62,11 @@
             vms: Vec::new(),
             answers: Rc::default(),
         };
-        for (n, domain) in VMS.iter().enumerate() {
+        for (n, domain) in VM_FAILURE_DOMAINS.iter().enumerate() {
             fleet.add_vm(n, domain).await;
         }
-        let others = VMS.len() - 1;
-        until("all know each other", || {
+        let others = VM_FAILURE_DOMAINS.len() - 1;
+        until("all VMs know each other", || {
             let knows = |vm: &Running| {
                 let peers = &vm.front.peers;
                 peers.others().len() >= others && peers.listed() > others
@@ -79,18 +79,18 @@
 
     async fn add_vm(&mut self, number: usize, domain: &str) {
         let name = format!("front-{number}");
-        let vm = start(&settings_in(&self.store, &name, domain, MANY_RETRIES)).await;
-        let vm = vm.expect("a front");
-        until("it is ready", || vm.front.lifecycle.is_ready()).await;
+        let vm = start(&settings_in(&self.store, &name, domain, RETRY_SETTINGS)).await;
+        let vm = vm.expect("the front starts");
+        until("the front is ready", || vm.front.lifecycle.is_ready()).await;
         until("keys are confirmed", || vm.front.routing.is_fresh()).await;
         self.vms.push(vm);
     }
 
-    /// Sends requests to all VMs for a time, more than a limit lets through.
-    async fn load(&self, lasts: Duration, request: impl Fn(&str) -> CallerRequest) {
+    /// Sends requests to all VMs for `duration`, at a higher rate than the limit allows.
+    async fn load(&self, duration: Duration, request: impl Fn(&str) -> CallerRequest) {
         let began = Instant::now();
         let mut number = 0;
-        while began.elapsed() < lasts {
+        while began.elapsed() < duration {
             for vm in &self.vms {
                 number += 1;
                 let request = request(&format!("r{}-{number}", began.elapsed().as_micros()));
@@ -104,32 +104,34 @@
                     };
                     count.set(count.get() + 1);
                 });
-                tokio::time::sleep(PAUSE / self.vms.len() as u32).await;
+                tokio::time::sleep(REQUEST_INTERVAL / self.vms.len() as u32).await;
             }
         }
     }
 
-    /// Whether every VM believes that the first upstream has this limit.
-    fn all_know(&self, limit: RateLimit) -> bool {
+    /// Whether every VM has this limit for the first upstream.
+    fn all_vms_know(&self, limit: RateLimit) -> bool {
         let known = |vm: &Running| vm.front.scheduler.rate_limit("u1") == limit;
         self.vms.iter().all(known)
     }
 }
 
-fn bound(per_second: f64) -> usize {
-    (per_second * MOST_OVER * WINDOW.as_secs_f64() + MOST_MORE) as usize
+/// The number of arrivals tolerated in a window.
+fn max_tolerated(per_second: f64) -> usize {
+    (per_second * TOLERATED_RATIO * WINDOW.as_secs_f64() + TOLERATED_EXTRA) as usize
 }
 
-/// The most that reached an upstream within a time, from a moment on.
-fn most_within(upstream: &Upstream, window: Duration, from: Instant) -> usize {
+/// The maximum number of arrivals at an upstream in any window that begins after `from`.
+fn max_arrivals_within(upstream: &Upstream, window: Duration, from: Instant) -> usize {
     let at: Vec<Instant> = upstream.arrivals().iter().map(|a| a.at).collect();
     let counted = at.iter().filter(|t| **t >= from);
     let within = |t: &Instant| at.iter().filter(|o| *o >= t && **o < *t + window).count();
     counted.map(within).max().unwrap_or(0)
 }
 
-/// Lets the first upstream name a limit, sends more requests and checks what reaches it.
-async fn check(
+/// Lets the first upstream report a limit, sends requests at a higher rate and asserts that
+/// arrivals stay within tolerance.
+async fn assert_limit_holds(
     service: &str,
     request: impl Fn(&str) -> CallerRequest + Copy,
     u1: Behaviour,
@@ -139,15 +141,15 @@
     let [first, second] = &fleet.upstreams;
     first.always(u1);
     second.always(u2);
-    first.name_limit(Some(LIMIT));
-    fleet.load(SETTLED, request).await;
+    first.name_limit(Some(LIMIT_PER_SECOND));
+    fleet.load(SETTLE_TIME, request).await;
     let settled = Instant::now();
     fleet.load(WINDOW + Duration::from_secs(1), request).await;
-    let most = most_within(first, WINDOW, settled);
+    let most = max_arrivals_within(first, WINDOW, settled);
     assert!(
-        most <= bound(LIMIT),
-        "{most} in {WINDOW:?}, {} are borne",
-        bound(LIMIT)
+        most <= max_tolerated(LIMIT_PER_SECOND),
+        "{most} arrivals in {WINDOW:?}, {} are tolerated",
+        max_tolerated(LIMIT_PER_SECOND)
     );
     fleet
 }
@@ -158,66 +160,73 @@
 
 #[actix_rt::test]
 async fn a_limit_holds_over_all_vms_and_callers_are_served_elsewhere() {
-    let fleet = check(PLAIN, many, Behaviour::Whole, Behaviour::Whole).await;
+    let fleet = assert_limit_holds(PLAIN, many, Behaviour::Whole, Behaviour::Whole).await;
     let answers = &fleet.answers;
     assert_eq!(answers.refused.get(), 0, "{} served", answers.served.get());
     assert!(fleet.upstreams[0].arrivals().len() > 1);
 }
 
 #[actix_rt::test]
-async fn second_attempts_count_in_a_limit() {
-    check(PLAIN, many, Behaviour::Whole, Behaviour::Fail).await;
+async fn retries_count_towards_a_limit() {
+    assert_limit_holds(PLAIN, many, Behaviour::Whole, Behaviour::Fail).await;
 }
 
 #[actix_rt::test]
-async fn a_limit_of_an_engine_holds() {
+async fn a_limit_holds_for_an_engine() {
     let draft = |id: &str| plain(id, "resume").post("x").tokens(10, 2);
     let stream = Behaviour::Stream(2);
-    check(ENGINES, draft, stream, stream).await;
+    assert_limit_holds(ENGINES, draft, stream, stream).await;
 }
 
 #[actix_rt::test]
-async fn a_limit_that_is_named_no_more_has_ended_on_all_vms() {
+async fn a_limit_that_is_no_longer_reported_is_lifted_on_all_vms() {
     let fleet = Fleet::new(PLAIN).await;
     let [first, _] = &fleet.upstreams;
-    first.name_limit(Some(LIMIT));
-    fleet.load(SETTLED, many).await;
+    first.name_limit(Some(LIMIT_PER_SECOND));
+    fleet.load(SETTLE_TIME, many).await;
     let limited = first.arrivals().len();
     first.name_limit(None);
-    fleet.load(SETTLED, many).await;
-    until("its end is known", || fleet.all_know(RateLimit::Unlimited)).await;
-    fleet.load(SETTLED, many).await;
+    fleet.load(SETTLE_TIME, many).await;
+    until("the end of the limit is known", || {
+        fleet.all_vms_know(RateLimit::Unlimited)
+    })
+    .await;
+    fleet.load(SETTLE_TIME, many).await;
     let after = first.arrivals().len();
     assert!(after > 4 * limited, "{limited} limited, {after} in all");
 }
 
-/// A VM that starts meanwhile, or sends nothing there, has passed on no answer.
+/// A VM that starts later, or sends nothing to the upstream, receives no answer from it and
+/// depends on its peers.
 #[actix_rt::test]
-async fn a_limit_and_its_end_reach_vms_that_no_answer_told() {
+async fn a_limit_and_its_end_reach_vms_that_received_no_answer() {
     let mut fleet = Fleet::new(PLAIN).await;
     let first = fleet.upstreams[0].clone();
-    first.name_limit(Some(LIMIT));
+    first.name_limit(Some(LIMIT_PER_SECOND));
     let one_vm = fleet.vms[0].callers;
     while first.arrivals().is_empty() {
         many("named").send(one_vm).await;
     }
-    let limit = RateLimit::PerSecond(LIMIT);
-    until("all know it", || fleet.all_know(limit)).await;
-    fleet.add_vm(VMS.len(), "b").await;
-    until("the new one knows it", || fleet.all_know(limit)).await;
+    let limit = RateLimit::PerSecond(LIMIT_PER_SECOND);
+    until("all VMs know the limit", || fleet.all_vms_know(limit)).await;
+    fleet.add_vm(VM_FAILURE_DOMAINS.len(), "b").await;
+    until("the new VM knows the limit", || fleet.all_vms_know(limit)).await;
     first.name_limit(None);
     let before = first.arrivals().len();
     while first.arrivals().len() == before {
         many("ended").send(one_vm).await;
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
-    until("all know its end", || fleet.all_know(RateLimit::Unlimited)).await;
+    until("all VMs know the end of the limit", || {
+        fleet.all_vms_know(RateLimit::Unlimited)
+    })
+    .await;
 }
 
-/// Guards against: calls that use a rate that VMs share are told to them by heartbeats only, so
-/// that each VM takes the whole rate of a cold upstream until then.
+/// Guards against: peers learn of calls that use a shared rate only from the next heartbeat, and
+/// until then each VM uses the whole rate of a cold upstream.
 #[actix_rt::test]
-async fn a_call_that_uses_a_shared_rate_is_told_at_once() {
+async fn a_call_that_uses_a_shared_rate_notifies_peers_at_once() {
     const COLD: &str = "cold";
     const WARM: &str = "warm";
     let clock = Clock::start();
@@ -240,7 +249,7 @@
     scheduler.set_rate_share(RateShare::of(1, 1, 1));
     for (service, told) in [(WARM, false), (COLD, true)] {
         let placed = scheduler.place(call(service, clock.now())).await;
-        assert_eq!(placed.expect("it is placed").upstream, service);
+        assert_eq!(placed.expect("the call is placed").upstream, service);
         let news = tokio::time::timeout(Duration::ZERO, scheduler.news()).await;
         assert_eq!(news.is_ok(), told, "{service}");
     }
@@ -262,7 +271,7 @@
     }
 }
 
-/// A call as it is submitted.
+/// A submission of a plain call.
 fn call(service: &str, now: Duration) -> Submission {
     Submission {
         id: "r".to_owned(),
--- a/trouttrack_front/tests/front/soak.rs
+++ b/trouttrack_front/tests/front/soak.rs
@@ -1,10 +1,10 @@
-//! A short soak: real processes under drawn faults.
+//! A short soak test: real processes under randomly generated faults.
 
 use std::path::PathBuf;
 use std::time::Duration;
 use trouttrack_soak::{Size, SoakOptions, run};
 
-/// Seeds that ever broke a promise, a line each with its cause, and a few more.
+/// Seeds that once violated a guarantee, one per line with the cause, and a few others.
 const SEEDS: &str = include_str!("soak_seeds.txt");
 
 fn seeds() -> impl Iterator<Item = u64> {
@@ -12,9 +12,9 @@
     lines.filter_map(|line| line.split_whitespace().next()?.parse().ok())
 }
 
-/// Promises about times are left out: the machine may be busy.
+/// Guarantees on times are not checked because the machine may be busy.
 #[actix_rt::test]
-async fn drawn_faults_break_no_promise() {
+async fn random_faults_violate_no_guarantee() {
     for seed in seeds() {
         let options = SoakOptions {
             program: PathBuf::from(env!("CARGO_BIN_EXE_trouttrack_front")),
--- a/trouttrack_front/tests/front/support.rs
+++ b/trouttrack_front/tests/front/support.rs
@@ -1,4 +1,4 @@
-//! A small fleet: a store, upstreams, fronts.
+//! Test fixture: a small fleet with a simulated store, simulated upstreams and fronts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,9 +14,8 @@
 pub(crate) const ORGANISATION: &str = "alpha";
 pub(crate) const PLAIN: &str = "quotes";
 pub(crate) const ENGINES: &str = "drafts";
-/// How long a condition is waited for; tests do not depend on how soon it
-/// comes.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Generous, because no test depends on how soon a condition is met.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub(crate) fn route(name: &str, service: &str, kind: RouteKind, max_attempts: u32) -> Route {
     Route {
@@ -43,8 +42,8 @@
     }
 }
 
-/// Routes `many` (may be repeated), `once` (may not), `resume` (a stream that
-/// may be taken up again), `draft` (one that may not), `open` (no key).
+/// Configuration with the routes `many` (repeatable calls), `once` (non-repeatable calls),
+/// `resume` (resumable streams), `draft` (non-resumable streams) and `open` (no key needed).
 pub(crate) fn config(version: u64) -> FleetConfig {
     let repeatable = |repeatable| RouteKind::Plain { repeatable };
     let mut open = route("open", PLAIN, repeatable(true), 2);
@@ -118,12 +117,12 @@
 }
 
 impl Bed {
-    /// A front before two upstreams of a service, with a configuration.
+    /// Starts a front with a configuration and two upstreams of a service.
     pub(crate) async fn new(service: &str) -> Self {
         Self::with(service, "").await
     }
 
-    /// The same with more settings.
+    /// Like [`Self::new`], with additional settings.
     pub(crate) async fn with(service: &str, more: &str) -> Self {
         let store = Store::start().await;
         store.put_config(&config(1));
@@ -137,7 +136,7 @@
         let bed = Self {
             store,
             upstreams,
-            front: front.expect("a front"),
+            front: front.expect("the front starts"),
         };
         bed.ready().await;
         bed
@@ -149,7 +148,7 @@
         })
         .await;
         until("keys are confirmed", || self.front.front.routing.is_fresh()).await;
-        // Retries are shared by the VMs that are listed.
+        // No retry is allowed until the number of VMs is known.
         until("VMs are listed", || self.front.front.peers.listed() > 0).await;
     }
 
@@ -161,7 +160,7 @@
         req.send(self.addr()).await
     }
 
-    /// The upstreams that ran a request, once for each time.
+    /// The ids of the upstreams that ran a request, repeated for each run.
     pub(crate) fn ran(&self, id: &str) -> Vec<String> {
         let mut at = Vec::new();
         for upstream in &self.upstreams {
@@ -171,7 +170,7 @@
         at
     }
 
-    /// The upstream that has a request now.
+    /// An upstream that is processing a request, if any.
     pub(crate) fn working(&self) -> Option<&Upstream> {
         self.upstreams.iter().find(|u| u.working_on() > 0)
     }
@@ -186,7 +185,7 @@
     plain(id, route).post("a prompt").tokens(100, 400)
 }
 
-/// The text of all events of a stream.
+/// The expected text of a stream with `count` events.
 pub(crate) fn events(id: &str, count: u64) -> String {
     (1..=count)
         .map(|n| format!("id: {n}\ndata: {id}/{n}\n\n"))
@@ -195,11 +194,11 @@
 
 /// Waits until a condition holds.
 pub(crate) async fn until(what: &str, f: impl Fn() -> bool) {
-    let waiting = async {
+    let polling = async {
         while !f() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let held = tokio::time::timeout(PATIENCE, waiting).await;
-    assert!(held.is_ok(), "never: {what}");
+    let met = tokio::time::timeout(CONDITION_TIMEOUT, polling).await;
+    assert!(met.is_ok(), "not met within {CONDITION_TIMEOUT:?}: {what}");
 }
