--- a/trouttrack_front/src/request/attempt.rs
+++ b/trouttrack_front/src/request/attempt.rs
@@ -1,6 +1,6 @@
-//! One hand-over of a request to an upstream, up to the head of the answer.
+//! Sends a request to an upstream and verifies the head of its response.
 
-use super::suspicion::Suspicion;
+use super::quarantine::QuarantineCheck;
 use crate::caller::Admitted;
 use crate::follow::heard_in_answer;
 use crate::state::{Front, Upstream, fingerprint_text};
@@ -13,67 +13,66 @@
 use trouttrack_platform::{AnswerHead, Handover};
 use trouttrack_telemetry::{events, record};
 
-/// A request that must not run twice is lost with a connection that its upstream
-/// has forgotten. Upstreams were seen to forget after 300 ms; one that was used
-/// more recently than this is still open, and a new one costs little.
-const SURELY_OPEN: Duration = Duration::from_millis(150);
-/// What is said of an attempt whose connection ended before any answer.
-const ENDED_UNANSWERED: &str = "the connection ended without an answer";
-/// What is said of an answer that ended before it was whole.
-const BROKE_OFF: &str = "the answer broke off";
-/// The same of a stream.
-pub(super) const STREAM_BROKE_OFF: &str = "the stream broke off";
-/// What is said of an attempt that was not sent because its upstream wants no work any more.
-const WITHDRAWN: &str = "the upstream wants no work any more";
-/// Taken off the time that upstreams are given, for the way back.
-const WAY_BACK: Duration = Duration::from_millis(5);
+/// Longest idle time of a pooled connection that may carry a request that must not run
+/// twice. Such a request is lost if the upstream has already dropped the connection.
+/// Upstreams drop idle connections after as little as 300 ms, and a new connection is cheap.
+const MAX_REUSE_IDLE: Duration = Duration::from_millis(150);
+/// Reason of an attempt whose connection closed before any response.
+const CLOSED_WITHOUT_RESPONSE: &str = "the connection ended without an answer";
+/// Reason of an attempt whose response was truncated.
+const RESPONSE_TRUNCATED: &str = "the answer broke off";
+/// Reason of an attempt whose stream was truncated.
+pub(super) const STREAM_TRUNCATED: &str = "the stream broke off";
+/// Reason of an attempt that was not sent because its upstream no longer accepts work.
+const CANCELLED_BEFORE_SEND: &str = "the upstream wants no work any more";
+/// Subtracted from the time granted to an upstream, to leave time for the response to return.
+const RESPONSE_TRANSIT: Duration = Duration::from_millis(5);
 
-/// An answer whose head has come and belongs to the request.
+/// Response whose head has been received and matched to the request.
 #[derive(Debug)]
-pub(crate) struct Sent {
-    /// Its head.
+pub(crate) struct UpstreamResponse {
     pub(crate) head: AnswerHead,
-    /// Its body, to come.
+    /// The body, not yet read.
     pub(crate) body: AnswerBody,
-    /// Whether the body tells where it ends.
+    /// Whether the body is framed, by a length or by chunks, so that truncation is detectable.
     pub(crate) framed: bool,
 }
 
-impl Sent {
-    /// Takes the whole body, of at most `most` bytes.
+impl UpstreamResponse {
+    /// Reads the whole body, of at most `max_bytes` bytes.
     ///
     /// # Errors
     ///
-    /// The attempt is lost: what came is not the whole answer.
-    pub(crate) async fn whole_body(&mut self, most: usize) -> Result<Bytes, AttemptFailure> {
+    /// Returns [`Failure::Lost`] if the body is truncated or larger than `max_bytes`.
+    pub(crate) async fn read_body(&mut self, max_bytes: usize) -> Result<Bytes, AttemptFailure> {
         let lost = |reason| AttemptFailure::new(Failure::Lost, reason);
-        let body = self.body.whole(most).await;
-        body.map_err(|_| lost(BROKE_OFF))?
+        let body = self.body.whole(max_bytes).await;
+        body.map_err(|_| lost(RESPONSE_TRUNCATED))?
             .ok_or(lost("the answer is too large"))
     }
 }
 
-/// An attempt that has failed.
+/// Context of a failed attempt, for logs and metrics.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Attempt<'a> {
-    /// Where it was made.
+pub(crate) struct FailedAttempt<'a> {
+    /// Id of the upstream.
     pub(crate) upstream: &'a str,
-    /// The request's body.
+    /// Request body.
     pub(crate) body: &'a Bytes,
-    /// What is known against it.
-    pub(super) suspicion: &'a Suspicion,
-    /// When it was handed over.
-    pub(crate) began_at: Time,
-    /// Events of the stream that were passed on by then, also from earlier attempts.
+    /// Provides the fingerprint of the request.
+    pub(super) quarantine: &'a QuarantineCheck,
+    /// Start of the attempt.
+    pub(crate) started_at: Time,
+    /// Stream events forwarded so far, including those of earlier attempts.
     pub(crate) events: u64,
 }
 
-/// Why an attempt gave no answer.
+/// Cause of a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AttemptFailure {
-    /// What the retry rule goes by.
+    /// Failure class, the input of the retry rule.
     pub(crate) failure: Failure,
-    /// What happened.
+    /// Reason for logs and for the caller.
     pub(crate) reason: &'static str,
 }
 
@@ -82,31 +81,37 @@
         Self { failure, reason }
     }
 
-    /// Whether the connection ended before any answer, which other VMs may meet too.
-    pub(crate) fn lost_connection(&self) -> bool {
-        self.reason == ENDED_UNANSWERED
+    /// Whether the connection closed before any response. Other VMs may be affected as well.
+    pub(crate) fn closed_without_response(&self) -> bool {
+        self.reason == CLOSED_WITHOUT_RESPONSE
     }
 
-    /// Whether the attempt says nothing against its upstream: it was not sent.
-    pub(crate) fn was_withdrawn(&self) -> bool {
-        self.reason == WITHDRAWN
+    /// Whether the attempt was cancelled before it was sent. It then says nothing about the
+    /// health of the upstream.
+    pub(crate) fn cancelled_before_send(&self) -> bool {
+        self.reason == CANCELLED_BEFORE_SEND
     }
 
-    /// Whether the connection ended with the request on it, as it does when the upstream
-    /// ends.
-    pub(super) fn broke_off(&self) -> bool {
-        [ENDED_UNANSWERED, BROKE_OFF, STREAM_BROKE_OFF].contains(&self.reason)
+    /// Whether the connection closed while the request was in progress, as it does when the
+    /// upstream process exits.
+    pub(super) fn connection_closed(&self) -> bool {
+        [
+            CLOSED_WITHOUT_RESPONSE,
+            RESPONSE_TRUNCATED,
+            STREAM_TRUNCATED,
+        ]
+        .contains(&self.reason)
     }
 
-    /// Logs and counts the failure. What may have run is named by its fingerprint, so that
-    /// it is known again when it comes back.
-    pub(crate) fn report(&self, front: &Front, admitted: &Admitted, attempt: &Attempt<'_>) {
+    /// Logs and counts the failure. A request that may have run is logged with its
+    /// fingerprint, so that later arrivals of the same request can be matched to it.
+    pub(crate) fn report(&self, front: &Front, admitted: &Admitted, attempt: &FailedAttempt<'_>) {
         let may_have_run = matches!(self.failure, Failure::Lost | Failure::Aborted);
         let fingerprint = may_have_run.then(|| {
-            let request = attempt.suspicion.fingerprint(admitted, attempt.body);
+            let request = attempt.quarantine.fingerprint(admitted, attempt.body);
             fingerprint_text(request)
         });
-        let held = front.clock.now().saturating_sub(attempt.began_at);
+        let elapsed = front.clock.now().saturating_sub(attempt.started_at);
         record!(
             events::ATTEMPT_FAILED,
             request = admitted.head.id.as_str(),
@@ -115,7 +120,7 @@
             then = "retry rule",
             fingerprint = fingerprint.as_deref(),
             events = attempt.events,
-            held_ms = held.as_millis() as u64,
+            held_ms = elapsed.as_millis() as u64,
         );
         let result = match self.failure {
             Failure::NotConnected => "not-connected",
@@ -127,76 +132,82 @@
     }
 }
 
-/// Fills in what every hand-over to an upstream says.
+/// Builds the hand-over with the fields common to all attempts.
 pub(crate) fn handover(front: &Front, admitted: &Admitted, upstream: &Upstream) -> Handover {
     let left = front.clock.until(admitted.deadline);
     Handover {
         instance: upstream.id.clone(),
         organisation: admitted.organisation.clone(),
-        time_left: left.saturating_sub(WAY_BACK),
+        time_left: left.saturating_sub(RESPONSE_TRANSIT),
         last_event: admitted.head.last_event.clone(),
         ..Handover::default()
     }
 }
 
-/// Sends a request and waits for the head of an answer that belongs to it.
-/// Dropping the future cancels the upstream's work by closing the connection.
+/// Sends a request and waits for the head of a matching response.
+/// Dropping the future closes the connection, which cancels the upstream's work.
 ///
-/// A connection may come up long after the request was placed: what the upstream does not
-/// want any more by then is not sent. A generation that goes on there from a copy is: it would
-/// be lost.
+/// Connecting may take long. The request is not sent if the upstream has stopped accepting
+/// work by then, unless it continues a generation from a copy, which would be lost.
 pub(crate) async fn send(
     front: &Rc<Front>,
     admitted: &Admitted,
     upstream: &Rc<Upstream>,
     to: &Handover,
     body: Bytes,
-) -> Result<Sent, AttemptFailure> {
+) -> Result<UpstreamResponse, AttemptFailure> {
     let req = admitted.head.for_upstream(to, body).map_err(|e| {
         log::warn!("request {}: {e}", admitted.head.id);
         AttemptFailure::new(Failure::Refused, "the request cannot be written")
     })?;
     let reuse = match admitted.route.kind.repeatable() {
         true => Reuse::Any,
-        false => Reuse::IdleLessThan(SURELY_OPEN),
+        false => Reuse::IdleLessThan(MAX_REUSE_IDLE),
     };
-    let goes_on = to.continue_from.is_some();
+    let continues = to.continue_from.is_some();
     let sent_at = front.clock.now();
-    let still = || goes_on || front.scheduler.wants_work(&upstream.id);
-    let sent = front.http.send_if(upstream.addr, req, reuse, still).await;
-    let answer = sent.map_err(|e| failed(&e))?;
-    let head = AnswerHead::decode(&answer.head);
+    let still_wanted = || continues || front.scheduler.wants_work(&upstream.id);
+    let response = front
+        .http
+        .send_if(upstream.addr, req, reuse, still_wanted)
+        .await;
+    let raw = response.map_err(|e| send_failure(&e))?;
+    let head = AnswerHead::decode(&raw.head);
     heard_in_answer(front, upstream, &admitted.head.id, sent_at, &head);
-    let mut sent = Sent {
+    let mut response = UpstreamResponse {
         head,
-        body: answer.body,
-        framed: answer.framed,
+        body: raw.body,
+        framed: raw.framed,
     };
-    check(admitted, &mut sent)?;
-    Ok(sent)
+    verify_response(admitted, &mut response)?;
+    Ok(response)
 }
 
-/// Whether the answer is one to this request, and says that it ran.
-fn check(admitted: &Admitted, sent: &mut Sent) -> Result<(), AttemptFailure> {
+/// Checks that the response belongs to this request, comes from the upstream itself and
+/// reports that the request ran.
+fn verify_response(
+    admitted: &Admitted,
+    response: &mut UpstreamResponse,
+) -> Result<(), AttemptFailure> {
     let lost = |reason| Err(AttemptFailure::new(Failure::Lost, reason));
-    if !sent.head.answers(&admitted.head.id) {
-        sent.body.distrust();
+    if !response.head.answers(&admitted.head.id) {
+        response.body.distrust();
         return lost("the answer is to another request");
     }
-    if sent.head.not_run {
+    if response.head.not_run {
         return Err(AttemptFailure::new(
             Failure::Refused,
             "the upstream did not run it",
         ));
     }
-    if sent.head.encoded || !sent.head.sealed {
-        sent.body.distrust();
+    if response.head.encoded || !response.head.sealed {
+        response.body.distrust();
         return lost("the answer is not the upstream's own");
     }
     Ok(())
 }
 
-fn failed(e: &SendError) -> AttemptFailure {
+fn send_failure(e: &SendError) -> AttemptFailure {
     log::debug!("{e}");
     match e.kind {
         SendErrorKind::NotConnected => {
@@ -206,8 +217,10 @@
             Failure::NotConnected,
             "nobody listens at the upstream's address",
         ),
-        SendErrorKind::Withdrawn => AttemptFailure::new(Failure::NotConnected, WITHDRAWN),
+        SendErrorKind::Withdrawn => {
+            AttemptFailure::new(Failure::NotConnected, CANCELLED_BEFORE_SEND)
+        }
         SendErrorKind::Garbled => AttemptFailure::new(Failure::Lost, "the answer is not HTTP"),
-        _ => AttemptFailure::new(Failure::Lost, ENDED_UNANSWERED),
+        _ => AttemptFailure::new(Failure::Lost, CLOSED_WITHOUT_RESPONSE),
     }
 }
--- a/trouttrack_front/src/request/end.rs
+++ b/trouttrack_front/src/request/end.rs
@@ -1,4 +1,4 @@
-//! How a request ends.
+//! Final outcomes of a request, with their logs, metrics and responses.
 
 use crate::caller::{Admitted, Reply};
 use crate::state::{Front, Refusal};
@@ -9,36 +9,34 @@
 use trouttrack_core::{Outcome, Time};
 use trouttrack_telemetry::{events, record};
 
-/// The shortest time after which a refused caller may come back.
-const COME_BACK: Duration = Duration::from_millis(100);
-/// The longest: overload passes quickly, and callers wait no longer than a
-/// third of their time.
-const COME_BACK_AT_MOST: Duration = Duration::from_secs(1);
-/// When a caller refused by a stopping VM may come back: at once, on a new
-/// connection, which leads to another VM.
-const ELSEWHERE: Duration = Duration::from_millis(20);
+/// Shortest retry delay given to a refused caller.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Longest retry delay given to a refused caller. Overload passes quickly, and callers wait
+/// for at most a third of their time limit.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Retry delay given by a stopping VM. It is short because a new connection reaches another
+/// VM.
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(20);
 
-/// How a request ends without an upstream's whole answer.
+/// Outcome of a request that received no complete response from an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum End {
-    /// It has not run and never will.
+    /// The request has not run and will not run.
     NotRun {
-        /// Why.
         reason: &'static str,
-        /// When the caller may come back.
+        /// Delay before the caller may retry.
         retry_after: Duration,
     },
-    /// It may have run.
+    /// The request may have run.
     Uncertain {
-        /// Why there is no whole answer.
         reason: &'static str,
-        /// Whether the caller's time was over.
+        /// Whether the caller's deadline expired.
         timed_out: bool,
     },
 }
 
 impl End {
-    /// The scheduler found no place for it.
+    /// The scheduler did not place the request.
     pub(crate) fn refused(refusal: &Refusal) -> Self {
         let reason = match refusal.reason {
             NotRunReason::QueueFull => "too many requests wait",
@@ -50,43 +48,43 @@
             NotRunReason::Resting => "every upstream has asked for a pause",
             _ => "refused",
         };
-        // A pause is known to its end: who comes back sooner is refused once more.
-        let at_most = match refusal.reason {
+        // The end of a pause is known, and a caller that retries sooner is refused again.
+        let max_retry_after = match refusal.reason {
             NotRunReason::Resting => LONGEST_PAUSE,
-            _ => COME_BACK_AT_MOST,
+            _ => MAX_RETRY_AFTER,
         };
         Self::NotRun {
             reason,
-            retry_after: refusal.retry_after.clamp(COME_BACK, at_most),
+            retry_after: refusal.retry_after.clamp(MIN_RETRY_AFTER, max_retry_after),
         }
     }
 
-    /// This VM is about to end; another one serves.
+    /// This VM is stopping; other VMs serve the request.
     pub(crate) fn stopping() -> Self {
         Self::NotRun {
             reason: "this VM is stopping",
-            retry_after: ELSEWHERE,
+            retry_after: STOPPING_RETRY_AFTER,
         }
     }
 
-    /// Upstreams end when they run it.
-    pub(crate) fn held(hold: Hold) -> Self {
+    /// The request is quarantined because upstreams exited while they ran it.
+    pub(crate) fn quarantined(hold: Hold) -> Self {
         Self::NotRun {
             reason: "upstreams ended while they ran it",
             retry_after: hold.left,
         }
     }
 
-    /// It has not run; the caller may come back soon.
+    /// The request has not run; the caller may retry after the shortest delay.
     pub(crate) fn not_run(reason: &'static str) -> Self {
         Self::NotRun {
             reason,
-            retry_after: COME_BACK,
+            retry_after: MIN_RETRY_AFTER,
         }
     }
 
-    /// The end that the retry rule came to.
-    pub(crate) fn of_outcome(outcome: Outcome, reason: &'static str) -> Self {
+    /// Converts an outcome of the retry rule.
+    pub(crate) fn from_outcome(outcome: Outcome, reason: &'static str) -> Self {
         match outcome {
             Outcome::NotRun => Self::not_run(reason),
             _ => Self::Uncertain {
@@ -96,8 +94,8 @@
         }
     }
 
-    /// The same end, but for a request that may have run.
-    pub(crate) fn unless_run(self, may_have_run: bool) -> Self {
+    /// Turns `NotRun` into `Uncertain` for a request that may have run.
+    pub(crate) fn uncertain_if_run(self, may_have_run: bool) -> Self {
         match self {
             Self::NotRun { reason, .. } if may_have_run => Self::Uncertain {
                 reason,
@@ -107,7 +105,7 @@
         }
     }
 
-    /// Logs and counts the end, and makes the answer.
+    /// Logs and counts the outcome, and builds the reply.
     pub(crate) fn reply(&self, front: &Front, admitted: &Admitted, attempts: u32) -> Reply {
         let id = admitted.head.id.as_str();
         self.log(front, admitted, attempts);
@@ -117,19 +115,19 @@
                 retry_after,
             } => {
                 front.metrics.refused.with_label_values(&[reason]).inc();
-                ended(front, kind_name(admitted), "not-run");
+                count_end(front, kind_name(admitted), "not-run");
                 Reply::not_run(id, reason, *retry_after)
             }
             Self::Uncertain { reason, timed_out } => {
-                ended(front, kind_name(admitted), "uncertain");
+                count_end(front, kind_name(admitted), "uncertain");
                 Reply::uncertain(id, reason, *timed_out)
             }
         }
     }
 
     fn log(&self, front: &Front, admitted: &Admitted, attempts: u32) {
-        let held = front.clock.now().saturating_sub(admitted.received_at);
-        let held_ms = held.as_millis() as u64;
+        let elapsed = front.clock.now().saturating_sub(admitted.received_at);
+        let held_ms = elapsed.as_millis() as u64;
         match self {
             Self::NotRun {
                 reason,
@@ -157,43 +155,47 @@
     }
 }
 
-/// An upstream's answer that was passed on.
+/// Response of an upstream that was forwarded to the caller.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Answered<'a> {
-    /// The upstream that ended it.
+pub(crate) struct ForwardedResponse<'a> {
+    /// Id of the upstream that completed the response.
     pub(crate) upstream: &'a str,
-    /// Its status.
+    /// HTTP status.
     pub(crate) status: u16,
-    /// Attempts that it took.
+    /// Number of attempts.
     pub(crate) attempts: u32,
-    /// When its first byte was passed on.
+    /// Time at which the first byte was forwarded.
     pub(crate) first_byte_at: Time,
-    /// Events of a stream; zero for a plain call.
+    /// Number of forwarded stream events; zero for a plain call.
     pub(crate) events: u64,
 }
 
-/// Logs and counts an upstream's answer.
-pub(crate) fn answered(front: &Front, admitted: &Admitted, answer: Answered<'_>) {
+/// Logs and counts a forwarded response.
+pub(crate) fn record_forwarded(
+    front: &Front,
+    admitted: &Admitted,
+    response: ForwardedResponse<'_>,
+) {
     let received = admitted.received_at;
-    let first = answer.first_byte_at.saturating_sub(received);
-    let held = front.clock.now().saturating_sub(received);
+    let first = response.first_byte_at.saturating_sub(received);
+    let elapsed = front.clock.now().saturating_sub(received);
     record!(
         events::ANSWERED,
         request = admitted.head.id.as_str(),
-        upstream = answer.upstream,
+        upstream = response.upstream,
         route = admitted.route.name.as_str(),
-        status = answer.status,
-        attempts = answer.attempts,
-        events = answer.events,
+        status = response.status,
+        attempts = response.attempts,
+        events = response.events,
         objective_ms = admitted.route.objective.as_millis() as u64,
         first_ms = first.as_millis() as u64,
-        held_ms = held.as_millis() as u64,
+        held_ms = elapsed.as_millis() as u64,
     );
-    ended(front, kind_name(admitted), "answered");
+    count_end(front, kind_name(admitted), "answered");
     front.metrics.first_byte_after(first);
 }
 
-fn ended(front: &Front, kind: &str, end: &str) {
+fn count_end(front: &Front, kind: &str, end: &str) {
     front.metrics.ended.with_label_values(&[kind, end]).inc();
 }
 
--- a/trouttrack_front/src/request/events.rs
+++ b/trouttrack_front/src/request/events.rs
@@ -1,17 +1,16 @@
-//! Cutting a stream into whole events.
+//! Splits a stream into complete server-sent events.
 //!
-//! An upstream may stop in the middle of an event. Only whole events are
-//! passed on, so that another upstream can go on after the last one. The bytes
-//! of an event are not touched.
+//! An upstream may stop in the middle of an event. Only complete events are
+//! forwarded, so that another upstream can resume after the last one. The bytes
+//! of an event are forwarded unchanged.
 
 use bytes::{Bytes, BytesMut};
 
-/// Ends an event.
-const BLANK_LINES: [&[u8]; 2] = [b"\n\n", b"\r\n\r\n"];
-/// Begins the line with an event's id.
-const ID: &[u8] = b"id:";
+const EVENT_TERMINATORS: [&[u8]; 2] = [b"\n\n", b"\r\n\r\n"];
+/// Prefix of the line that carries the event id.
+const ID_PREFIX: &[u8] = b"id:";
 
-/// Collects bytes until an event is whole.
+/// Buffers bytes until an event is complete.
 ///
 /// # Examples
 ///
@@ -28,18 +27,18 @@
     partial: BytesMut,
     last_id: Option<String>,
     events: u64,
-    /// Events up to this id have been passed on and are left out.
-    seen: Option<u64>,
+    /// Events up to this id were forwarded before the source changed and are skipped.
+    delivered_up_to: Option<u64>,
 }
 
 impl EventReader {
-    /// Takes bytes, and returns the whole events that they complete.
+    /// Appends bytes and returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.partial.extend_from_slice(bytes);
         let mut out = BytesMut::new();
-        while let Some(length) = first_event(&self.partial) {
+        while let Some(length) = first_event_len(&self.partial) {
             let event = self.partial.split_to(length);
-            if self.take(&event) {
+            if self.accept(&event) {
                 match out.is_empty() {
                     true => out = event,
                     false => out.unsplit(event),
@@ -49,12 +48,12 @@
         out.freeze()
     }
 
-    /// Returns whether the event is to be passed on.
-    fn take(&mut self, event: &[u8]) -> bool {
+    /// Registers an event. Returns whether it is to be forwarded.
+    fn accept(&mut self, event: &[u8]) -> bool {
         let id = id_of(event);
         let number = id.as_deref().and_then(|id| id.parse::<u64>().ok());
-        if let (Some(seen), Some(number)) = (self.seen, number)
-            && number <= seen
+        if let (Some(delivered_up_to), Some(number)) = (self.delivered_up_to, number)
+            && number <= delivered_up_to
         {
             return false;
         }
@@ -65,34 +64,34 @@
         true
     }
 
-    /// Another upstream goes on with the stream: what is left of an unfinished
-    /// event is dropped, and events that it repeats are left out.
-    pub fn goes_on(&mut self) {
+    /// Prepares for another upstream that resumes the stream: discards the bytes of an
+    /// incomplete event, and skips events that were already forwarded.
+    pub fn skip_delivered(&mut self) {
         self.partial.clear();
-        self.seen = self.last_id.as_deref().and_then(|id| id.parse().ok());
+        self.delivered_up_to = self.last_id.as_deref().and_then(|id| id.parse().ok());
     }
 
-    /// What came after the last whole event, when the stream has ended.
-    pub fn rest(&mut self) -> Bytes {
+    /// Removes and returns the bytes after the last complete event.
+    pub fn take_remainder(&mut self) -> Bytes {
         self.partial.split().freeze()
     }
 
-    /// The id of the last event passed on.
+    /// Id of the last forwarded event.
     #[must_use]
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Events passed on.
+    /// Number of forwarded events.
     #[must_use]
     pub fn events(&self) -> u64 {
         self.events
     }
 }
 
-/// The length of the first whole event.
-fn first_event(bytes: &[u8]) -> Option<usize> {
-    let ends = BLANK_LINES.iter().filter_map(|blank| {
+/// Length of the first complete event, including its terminator.
+fn first_event_len(bytes: &[u8]) -> Option<usize> {
+    let ends = EVENT_TERMINATORS.iter().filter_map(|blank| {
         let at = bytes.windows(blank.len()).position(|w| w == *blank)?;
         Some(at + blank.len())
     });
@@ -101,7 +100,7 @@
 
 fn id_of(event: &[u8]) -> Option<String> {
     let lines = event.split(|&b| b == b'\n');
-    let mut ids = lines.filter_map(|line| line.strip_prefix(ID));
+    let mut ids = lines.filter_map(|line| line.strip_prefix(ID_PREFIX));
     let id = std::str::from_utf8(ids.next()?).ok()?;
     Some(id.trim().to_owned())
 }
--- a/trouttrack_front/src/request/fingerprint.rs
+++ b/trouttrack_front/src/request/fingerprint.rs
@@ -1,16 +1,16 @@
-//! Which arrivals are the same request.
+//! Fingerprints that identify repeated arrivals of the same request.
 
 use crate::caller::Admitted;
 use bytes::Bytes;
 use sha2::{Digest, Sha256};
 use trouttrack_core::Fingerprint;
 
-/// Bytes of the digest that are kept. Of two requests that differ nobody can find a pair
-/// with the same ones, so no caller can have another's request taken for its own.
-const KEPT: usize = size_of::<Fingerprint>();
+/// Length of the truncated digest. It is collision resistant, so no caller can build a request
+/// that is taken for the request of another.
+const FINGERPRINT_BYTES: usize = size_of::<Fingerprint>();
 
-/// Tells a request by what its caller asks for: method, host, path, query and body, and
-/// the organisation. Its id is left out, which is new with each arrival.
+/// Digest over method, host, path, query, organisation and body. The request id is left out
+/// because it differs for each arrival.
 pub(crate) fn fingerprint(admitted: &Admitted, body: &Bytes) -> Fingerprint {
     let head = &admitted.head;
     let organisation = admitted.organisation.as_deref().unwrap_or_default();
@@ -26,7 +26,7 @@
         digest.update(part.len().to_be_bytes());
         digest.update(part);
     }
-    let mut kept = [0; KEPT];
-    kept.copy_from_slice(&digest.finalize()[..KEPT]);
-    Fingerprint::from_be_bytes(kept)
+    let mut fingerprint_bytes = [0; FINGERPRINT_BYTES];
+    fingerprint_bytes.copy_from_slice(&digest.finalize()[..FINGERPRINT_BYTES]);
+    Fingerprint::from_be_bytes(fingerprint_bytes)
 }
--- a/trouttrack_front/src/request/mod.rs
+++ b/trouttrack_front/src/request/mod.rs
@@ -1,14 +1,14 @@
-//! Driving a request through its attempts.
+//! Execution of a request: placement, attempts, retries and the final response.
 
 mod attempt;
 mod end;
 mod events;
 mod fingerprint;
 pub(crate) mod plain;
+mod quarantine;
 mod retry;
 pub(crate) mod stream;
 mod submission;
-mod suspicion;
 
 pub use events::EventReader;
 
--- a/trouttrack_front/src/request/plain.rs
+++ b/trouttrack_front/src/request/plain.rs
@@ -1,10 +1,10 @@
-//! A plain call: one answer, taken whole before it is passed on.
+//! Plain calls: the response is buffered completely before it is forwarded.
 
-use super::attempt::{Attempt, AttemptFailure, handover, send};
-use super::end::{Answered, End, answered};
-use super::retry::{Attempts, is_attempt};
-use super::submission::submission;
-use super::suspicion::Suspicion;
+use super::attempt::{AttemptFailure, FailedAttempt, handover, send};
+use super::end::{End, ForwardedResponse, record_forwarded};
+use super::quarantine::QuarantineCheck;
+use super::retry::{AttemptCounts, is_attempt};
+use super::submission::build_submission;
 use crate::caller::{Admitted, Reply};
 use crate::state::{Front, Ticket, Upstream};
 use bytes::Bytes;
@@ -16,12 +16,11 @@
 use trouttrack_platform::AnswerHead;
 use trouttrack_telemetry::{events, record};
 
-/// The largest answer that is taken whole; plain services answer with a few
-/// kilobytes.
-const MOST_BYTES: usize = 4 << 20;
-/// The part of the objective that the first attempt may take when the request
-/// may be repeated: the rest is enough for a whole call in the usual case.
-const FIRST_TRY: f64 = 0.5;
+/// Largest response body that is buffered. Responses of plain services have a few kilobytes.
+const MAX_BODY_BYTES: usize = 4 << 20;
+/// Fraction of the objective that an attempt may take while another one is possible. The
+/// rest is usually enough for a complete call.
+const FIRST_ATTEMPT_FRACTION: f64 = 0.5;
 
 /// Serves a request.
 pub(crate) async fn serve(front: &Rc<Front>, admitted: Admitted, body: Bytes) -> Reply {
@@ -30,45 +29,45 @@
     };
     let deadline = front.clock.instant(admitted.deadline);
     let mut call = PlainCall::new(front, &admitted, service, body);
-    match tokio::time::timeout_at(deadline, call.drive()).await {
+    match tokio::time::timeout_at(deadline, call.run_attempts()).await {
         Ok(reply) => reply,
         Err(_) => {
             let attempts = call.attempts.sent;
-            let end = call.timed_out().unless_run(call.may_have_run);
+            let end = call.timed_out().uncertain_if_run(call.may_have_run);
             end.reply(front, &admitted, attempts)
         }
     }
 }
 
-/// A whole answer, kept in case no better one comes.
-struct WholeAnswer {
+/// Response with its complete body.
+struct BufferedResponse {
     upstream: UpstreamId,
     head: AnswerHead,
     body: Bytes,
-    /// Whether its end was marked: one that is not may be an upstream's.
-    end_marked: bool,
+    /// Whether the body was framed. Without framing, the exit of the upstream cannot be told
+    /// from the end of the body.
+    framed: bool,
 }
 
-/// One plain call.
+/// State of a plain call.
 struct PlainCall<'a> {
     front: &'a Rc<Front>,
     admitted: &'a Admitted,
     service: ServiceId,
     body: Bytes,
     machine: Machine,
-    /// Upstreams that it was sent to.
+    /// Upstreams that were already tried.
     avoid: Vec<UpstreamId>,
-    /// What is known against the request.
-    suspicion: Suspicion,
-    attempts: Attempts,
-    /// The attempt at an upstream that has it, while no answer has come.
+    quarantine: QuarantineCheck,
+    attempts: AttemptCounts,
+    /// Ticket of the attempt in progress.
     handed_over: Option<Ticket>,
-    /// When that attempt began.
+    /// Start of the latest attempt.
     placed_at: Time,
-    /// An upstream may have run it, and its answer was not usable.
+    /// Whether an upstream may have run the request without a usable response.
     may_have_run: bool,
-    /// A failure that an upstream answered with.
-    unwanted: Option<WholeAnswer>,
+    /// Latest server error returned by an upstream, forwarded if no attempt succeeds.
+    error_response: Option<BufferedResponse>,
 }
 
 impl<'a> PlainCall<'a> {
@@ -86,22 +85,22 @@
             body,
             machine: Machine::new(traits, admitted.route.max_attempts),
             avoid: Vec::new(),
-            suspicion: Suspicion::default(),
-            attempts: Attempts::default(),
+            quarantine: QuarantineCheck::default(),
+            attempts: AttemptCounts::default(),
             handed_over: None,
             placed_at: Time::ZERO,
             may_have_run: false,
-            unwanted: None,
+            error_response: None,
         }
     }
 
-    /// Makes attempts until the request ends.
-    async fn drive(&mut self) -> Reply {
+    /// Makes attempts until the request has an outcome.
+    async fn run_attempts(&mut self) -> Reply {
         loop {
             let failure = match self.attempt().await {
-                Ok(answer) => return self.pass_on(answer),
-                Err(Stopped::Ended(end)) => return self.give_up(&end),
-                Err(Stopped::Failed(failure)) => failure,
+                Ok(response) => return self.forward(response),
+                Err(AttemptError::Ended(end)) => return self.end_without_success(&end),
+                Err(AttemptError::Failed(failure)) => failure,
             };
             self.may_have_run |= matches!(failure.failure, Failure::Lost | Failure::Aborted);
             let step = self.machine.failed(failure.failure);
@@ -109,28 +108,30 @@
                 continue;
             }
             let end = match step {
-                StepResult::Ended(outcome) => End::of_outcome(outcome, failure.reason),
+                StepResult::Ended(outcome) => End::from_outcome(outcome, failure.reason),
                 StepResult::Try(_) => End::not_run(failure.reason),
             };
-            return self.give_up(&end);
+            return self.end_without_success(&end);
         }
     }
 
-    /// One try at one upstream, from its choice to its whole answer.
-    async fn attempt(&mut self) -> Result<WholeAnswer, Stopped> {
-        self.check_held()?;
-        let submission = submission(self.front, self.admitted, &self.service, &self.avoid);
+    /// Makes one attempt: placement, exchange and accounting.
+    async fn attempt(&mut self) -> Result<BufferedResponse, AttemptError> {
+        self.check_quarantine()?;
+        let submission = build_submission(self.front, self.admitted, &self.service, &self.avoid);
         let placed = self.front.scheduler.place(submission).await;
-        let placed = placed.map_err(|refusal| Stopped::Ended(End::refused(&refusal)))?;
+        let placed = placed.map_err(|refusal| AttemptError::Ended(End::refused(&refusal)))?;
         if !self.admitted.still_admitted(self.front) {
-            return Err(Stopped::Ended(End::not_run("keys cannot be confirmed")));
+            return Err(AttemptError::Ended(End::not_run(
+                "keys cannot be confirmed",
+            )));
         }
-        // Another VM may have told of it while it waited.
-        self.check_held()?;
+        // Another VM may have reported the request while it was queued.
+        self.check_quarantine()?;
         let Some(upstream) = self.front.upstreams.get(&placed.upstream) else {
-            self.attempts.unconnected += 1;
+            self.attempts.connect_failures += 1;
             let failure = AttemptFailure::new(Failure::NotConnected, "the upstream is gone");
-            return Err(Stopped::Failed(failure));
+            return Err(AttemptError::Failed(failure));
         };
         self.front.metrics.decided(placed.loading, placed.known);
         record!(
@@ -148,84 +149,96 @@
         self.placed_at = self.front.clock.now();
         let outcome = self.exchange(&upstream).await;
         if let Err(failure) = &outcome {
-            let attempt = Attempt {
+            let attempt = FailedAttempt {
                 upstream: &upstream.id,
                 body: &self.body,
-                suspicion: &self.suspicion,
-                began_at: self.placed_at,
+                quarantine: &self.quarantine,
+                started_at: self.placed_at,
                 events: 0,
             };
             failure.report(self.front, self.admitted, &attempt);
         }
         if let Some(ticket) = self.handed_over.take() {
-            account(&outcome, &ticket);
+            record_outcome(&outcome, &ticket);
         }
-        self.learn(&upstream, &outcome).await;
-        outcome.map_err(Stopped::Failed)
+        self.update_quarantine(&upstream, &outcome).await;
+        outcome.map_err(AttemptError::Failed)
     }
 
-    /// Ends the request if upstreams end when they run it.
-    fn check_held(&self) -> Result<(), Stopped> {
-        let held = self.suspicion.held(self.front, self.admitted, &self.body);
-        held.map_or(Ok(()), |end| Err(Stopped::Ended(end)))
+    /// Ends the request if it is quarantined.
+    fn check_quarantine(&self) -> Result<(), AttemptError> {
+        let quarantined = self.quarantine.check(self.front, self.admitted, &self.body);
+        quarantined.map_or(Ok(()), |end| Err(AttemptError::Ended(end)))
     }
 
-    /// What an attempt says of the request.
-    async fn learn(&self, upstream: &Rc<Upstream>, outcome: &Result<WholeAnswer, AttemptFailure>) {
+    /// Updates the quarantine record of the request from the result of an attempt.
+    async fn update_quarantine(
+        &self,
+        upstream: &Rc<Upstream>,
+        outcome: &Result<BufferedResponse, AttemptFailure>,
+    ) {
         let (front, admitted, body) = (self.front, self.admitted, &self.body);
         match outcome {
-            Ok(answer) if answer.end_marked => self.suspicion.ran_well(front, admitted, body),
+            Ok(response) if response.framed => self.quarantine.record_run(front, admitted, body),
             Ok(_) => {}
             Err(failure) => {
-                let learning = self
-                    .suspicion
-                    .failed(front, admitted, body, upstream, failure);
-                learning.await;
+                let update = self
+                    .quarantine
+                    .record_failure(front, admitted, body, upstream, failure);
+                update.await;
             }
         }
     }
 
-    /// Sends the request to one upstream and takes its whole answer.
-    async fn exchange(&mut self, upstream: &Rc<Upstream>) -> Result<WholeAnswer, AttemptFailure> {
+    /// Sends the request to an upstream and reads its complete response.
+    async fn exchange(
+        &mut self,
+        upstream: &Rc<Upstream>,
+    ) -> Result<BufferedResponse, AttemptFailure> {
         let to = handover(self.front, self.admitted, upstream);
         let sending = send(self.front, self.admitted, upstream, &to, self.body.clone());
-        let sent = match self.patience() {
-            Some(patience) => {
+        let sent = match self.attempt_timeout() {
+            Some(attempt_timeout) => {
                 let slow = AttemptFailure::new(Failure::Lost, "the upstream is slow");
-                let sent = tokio::time::timeout(patience, sending).await;
+                let sent = tokio::time::timeout(attempt_timeout, sending).await;
                 sent.unwrap_or(Err(slow))
             }
             None => sending.await,
         };
-        self.count(sent.as_ref().err());
+        self.count_attempt(sent.as_ref().err());
         let mut sent = sent?;
-        let body = sent.whole_body(MOST_BYTES).await?;
-        let answer = WholeAnswer {
+        let body = sent.read_body(MAX_BODY_BYTES).await?;
+        let response = BufferedResponse {
             upstream: upstream.id.clone(),
             head: sent.head,
             body,
-            end_marked: sent.framed,
+            framed: sent.framed,
         };
-        if answer.head.status.is_server_error() && self.machine.traits().repeatable {
-            self.unwanted = Some(answer);
+        if response.head.status.is_server_error() && self.machine.traits().repeatable {
+            self.error_response = Some(response);
             let reason = "the upstream answered with a failure";
             return Err(AttemptFailure::new(Failure::Aborted, reason));
         }
-        Ok(answer)
+        Ok(response)
     }
 
-    /// How long an attempt may take while another upstream may be tried: that is
-    /// tried early enough to answer within the objective.
-    fn patience(&self) -> Option<Duration> {
-        let others = self.attempts.sent + 1 < self.admitted.route.max_attempts;
-        let again = self.machine.traits().repeatable && others;
-        again.then(|| self.admitted.route.objective.mul_f64(FIRST_TRY))
+    /// Time limit of an attempt while another upstream may be tried, so that the next one can
+    /// still respond within the objective.
+    fn attempt_timeout(&self) -> Option<Duration> {
+        let attempts_left = self.attempts.sent + 1 < self.admitted.route.max_attempts;
+        let may_try_another = self.machine.traits().repeatable && attempts_left;
+        may_try_another.then(|| {
+            self.admitted
+                .route
+                .objective
+                .mul_f64(FIRST_ATTEMPT_FRACTION)
+        })
     }
 
-    /// Counts an attempt, unless nothing was sent.
-    fn count(&mut self, failure: Option<&AttemptFailure>) {
+    /// Counts an attempt, or a connect failure if nothing was sent.
+    fn count_attempt(&mut self, failure: Option<&AttemptFailure>) {
         if failure.is_some_and(|f| f.failure == Failure::NotConnected) {
-            self.attempts.unconnected += 1;
+            self.attempts.connect_failures += 1;
             return;
         }
         self.attempts.count_sent(self.front, &self.service);
@@ -238,24 +251,25 @@
             .may_retry(front, admitted, &self.service, failure)
     }
 
-    fn pass_on(&mut self, answer: WholeAnswer) -> Reply {
-        let passed = Answered {
-            upstream: &answer.upstream,
-            status: answer.head.status.as_u16(),
+    fn forward(&mut self, response: BufferedResponse) -> Reply {
+        let forwarded = ForwardedResponse {
+            upstream: &response.upstream,
+            status: response.head.status.as_u16(),
             attempts: self.attempts.sent,
             first_byte_at: self.front.clock.now(),
             events: 0,
         };
-        answered(self.front, self.admitted, passed);
-        Reply::of_upstream(answer.head, answer.body)
+        record_forwarded(self.front, self.admitted, forwarded);
+        Reply::of_upstream(response.head, response.body)
     }
 
-    /// An upstream's own failure is a better answer than one of ours.
-    fn give_up(&mut self, end: &End) -> Reply {
-        match self.unwanted.take() {
-            Some(answer) => self.pass_on(answer),
+    /// Forwards the server error of an upstream if there is one, since it tells the caller more
+    /// than an error of this VM.
+    fn end_without_success(&mut self, end: &End) -> Reply {
+        match self.error_response.take() {
+            Some(response) => self.forward(response),
             None => {
-                let end = end.clone().unless_run(self.may_have_run);
+                let end = end.clone().uncertain_if_run(self.may_have_run);
                 end.reply(self.front, self.admitted, self.attempts.sent)
             }
         }
@@ -264,10 +278,10 @@
     fn timed_out(&mut self) -> End {
         match self.handed_over.take() {
             Some(ticket) => {
-                let held = self.front.clock.now().saturating_sub(self.placed_at);
-                // What is slower than its objective may still be there; what a
-                // caller gives less time than that says nothing.
-                if held >= self.admitted.route.objective {
+                let elapsed = self.front.clock.now().saturating_sub(self.placed_at);
+                // A caller deadline shorter than the objective says nothing about the
+                // reachability of the upstream.
+                if elapsed >= self.admitted.route.objective {
                     ticket.unreachable();
                 }
                 End::Uncertain {
@@ -280,13 +294,13 @@
     }
 }
 
-/// Tells the tables what an attempt says of its upstream.
-fn account(outcome: &Result<WholeAnswer, AttemptFailure>, ticket: &Ticket) {
+/// Reports the result of an attempt to the scheduler.
+fn record_outcome(outcome: &Result<BufferedResponse, AttemptFailure>, ticket: &Ticket) {
     match outcome {
-        Ok(answer) if answer.head.status.is_server_error() => ticket.fault(),
+        Ok(response) if response.head.status.is_server_error() => ticket.fault(),
         Ok(_) => ticket.complete(0),
-        Err(failure) if failure.lost_connection() => ticket.lost(),
-        Err(failure) if failure.was_withdrawn() => {}
+        Err(failure) if failure.closed_without_response() => ticket.lost(),
+        Err(failure) if failure.cancelled_before_send() => {}
         Err(failure) => match failure.failure {
             Failure::Refused => ticket.refused(),
             Failure::NotConnected => ticket.unreachable(),
@@ -295,10 +309,10 @@
     }
 }
 
-/// Why an attempt did not bring the answer.
-enum Stopped {
-    /// The request ends here.
+/// Why an attempt produced no response to forward.
+enum AttemptError {
+    /// The request ends without another attempt.
     Ended(End),
-    /// The retry rule decides.
+    /// The attempt failed; the retry rule decides.
     Failed(AttemptFailure),
 }
--- a/trouttrack_front/src/request/retry.rs
+++ b/trouttrack_front/src/request/retry.rs
@@ -1,15 +1,15 @@
-//! Whether a failed attempt is followed by another.
+//! Limits on the attempts of a request.
 
 use crate::caller::Admitted;
 use crate::state::Front;
 use trouttrack_core::request::{Failure, Step, StepResult};
 use trouttrack_telemetry::{events, record};
 
-/// Upstreams to which no connection could be made, after which a request is
-/// given up: others are as likely out of reach.
-const CONNECT_TRIES: u32 = 3;
+/// Failed connections after which a request ends, since other upstreams are then as likely to
+/// be unreachable.
+const MAX_CONNECT_FAILURES: u32 = 3;
 
-/// Whether a step of the retry rule is one more attempt.
+/// Whether the retry rule asks for another attempt.
 pub(super) fn is_attempt(step: StepResult) -> bool {
     matches!(
         step,
@@ -17,16 +17,16 @@
     )
 }
 
-/// The attempts at one request so far.
+/// Attempts made for a request so far.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Attempts {
-    /// Those that an upstream may have received.
+pub(super) struct AttemptCounts {
+    /// Attempts that an upstream may have received.
     pub(super) sent: u32,
-    /// Those to which no upstream was connected.
-    pub(super) unconnected: u32,
+    /// Attempts that found no connection to their upstream.
+    pub(super) connect_failures: u32,
 }
 
-impl Attempts {
+impl AttemptCounts {
     /// Counts an attempt that an upstream may have received.
     pub(super) fn count_sent(&mut self, front: &Front, service: &str) {
         if self.sent == 0 {
@@ -35,8 +35,8 @@
         self.sent += 1;
     }
 
-    /// Whether the route's bound and the shared budget leave room for another
-    /// attempt after this failure. Takes one retry from the budget if so.
+    /// Whether the limit of the route and the shared retry budget allow another attempt after
+    /// this failure. Consumes one retry from the budget if so, except after a failed connection.
     pub(super) fn may_retry(
         &self,
         front: &Front,
@@ -45,7 +45,7 @@
         failure: Failure,
     ) -> bool {
         if failure == Failure::NotConnected {
-            return self.unconnected < CONNECT_TRIES;
+            return self.connect_failures < MAX_CONNECT_FAILURES;
         }
         if self.sent >= admitted.route.max_attempts {
             return false;
--- a/trouttrack_front/src/request/stream/go_on.rs
+++ b/trouttrack_front/src/request/stream/continuation.rs
@@ -1,7 +1,7 @@
-//! Going on with a stream at another upstream.
+//! Resumes a stream at another upstream that holds a copy of the generation.
 
-use super::finish::{Finish, Stopped};
-use super::relay::Relayed;
+use super::finish::{AttemptError, StreamEnd};
+use super::relay::RelayEnd;
 use super::run::StreamRun;
 use super::source::Source;
 use crate::request::attempt::{AttemptFailure, handover};
@@ -13,13 +13,13 @@
 use trouttrack_telemetry::{events, record};
 
 impl StreamRun {
-    /// Goes on at the engine that the generation was moved to.
-    pub(super) async fn go_on(
+    /// Resumes at the engine that the generation was moved to.
+    pub(super) async fn resume_after_move(
         &mut self,
         source: &mut Source,
         moved: Moved,
         ticket: &Rc<Ticket>,
-    ) -> Result<Relayed, Stopped> {
+    ) -> Result<RelayEnd, AttemptError> {
         let from = Continuation {
             source: source.upstream.addr,
             handle: moved.handle,
@@ -44,22 +44,26 @@
                 if let Some(pause) = pause {
                     self.front.metrics.move_pause.observe(pause.as_secs_f64());
                 }
-                Ok(Relayed::GoesOn(Box::new(next)))
+                Ok(RelayEnd::Continued(Box::new(next)))
             }
             Err(e) => {
-                self.report_not_moved(source, &moved.target, "the target did not go on");
+                self.log_resume_failure(
+                    source,
+                    &moved.target,
+                    "the target did not continue the generation",
+                );
                 Err(e)
             }
         }
     }
 
-    /// Goes on from the copy that another engine kept as the generation grew.
-    pub(super) async fn restore(
+    /// Resumes at the backup engine, from the copy that it kept as the generation grew.
+    pub(super) async fn resume_from_backup(
         &mut self,
         source: &mut Source,
         target: Rc<Upstream>,
         ticket: &Rc<Ticket>,
-    ) -> Result<Relayed, Stopped> {
+    ) -> Result<RelayEnd, AttemptError> {
         let from = Continuation {
             source: source.upstream.addr,
             handle: self.admitted.head.id.clone(),
@@ -76,39 +80,43 @@
                 );
                 let moves = &self.front.metrics.moves;
                 moves.with_label_values(&["restored"]).inc();
-                Ok(Relayed::GoesOn(Box::new(next)))
+                Ok(RelayEnd::Continued(Box::new(next)))
             }
             Err(e) => {
-                self.report_not_moved(source, &target, "no copy to go on from");
+                self.log_resume_failure(
+                    source,
+                    &target,
+                    "the backup engine did not continue the generation",
+                );
                 Err(e)
             }
         }
     }
 
-    /// Sends the request to an engine that has a copy of the memory.
+    /// Sends the request to an engine that holds a copy of the KV cache.
     async fn continue_at(
         &mut self,
         source: &Source,
         target: &Rc<Upstream>,
         from: Continuation,
         ticket: &Rc<Ticket>,
-    ) -> Result<Source, Stopped> {
+    ) -> Result<Source, AttemptError> {
         let mut to = handover(&self.front, &self.admitted, target);
         to.continue_from = Some(from);
         if let Some(last) = self.reader.last_id() {
             to.last_event = Some(last.to_owned());
         }
-        let backup = self.backup(target, ticket);
+        let backup = self.select_backup(target, ticket);
         to.backup_at = backup.as_ref().map(|b| b.addr);
-        self.reader.goes_on();
-        // The answer keeps the head of its first upstream.
+        self.reader.skip_delivered();
+        // The caller gets the head of the first upstream.
         self.head.get_or_insert_with(|| source.head.clone());
-        let sent = self.send(target, &to).await.map_err(lost_midway)?;
-        self.at = Some(Rc::clone(target));
+        let sent = self.send(target, &to).await.map_err(as_lost)?;
+        self.current = Some(Rc::clone(target));
         Ok(Source::new(Rc::clone(target), sent, backup))
     }
 
-    fn report_not_moved(&self, source: &Source, target: &Upstream, reason: &'static str) {
+    fn log_resume_failure(&self, source: &Source, target: &Upstream, reason: &'static str) {
         record!(
             events::NOT_MOVED,
             request = self.admitted.head.id.as_str(),
@@ -122,13 +130,14 @@
     }
 }
 
-/// A generation that could not go on has run, whatever the target says.
-fn lost_midway(stopped: Stopped) -> Stopped {
+/// Converts a failed continuation to [`Failure::Lost`]: the generation has run, even if the
+/// target reports that its part did not.
+fn as_lost(stopped: AttemptError) -> AttemptError {
     match stopped {
-        Stopped::Failed(f) => AttemptFailure::new(Failure::Lost, f.reason).into(),
-        Stopped::Finished(Finish::Answered(..)) => {
+        AttemptError::Failed(f) => AttemptFailure::new(Failure::Lost, f.reason).into(),
+        AttemptError::Finished(StreamEnd::Response(..)) => {
             AttemptFailure::new(Failure::Lost, "the target answered with a failure").into()
         }
-        finished @ Stopped::Finished(_) => finished,
+        finished @ AttemptError::Finished(_) => finished,
     }
 }
--- a/trouttrack_front/src/request/stream/finish.rs
+++ b/trouttrack_front/src/request/stream/finish.rs
@@ -1,84 +1,84 @@
-//! How a stream ends, towards its caller and in the log.
+//! Reports the outcome of a stream to its caller and to the log.
 
 use super::run::StreamRun;
 use crate::caller::Reply;
 use crate::request::attempt::AttemptFailure;
-use crate::request::end::{Answered, End, answered};
+use crate::request::end::{End, ForwardedResponse, record_forwarded};
 use bytes::Bytes;
 use trouttrack_platform::AnswerHead;
 use trouttrack_telemetry::{events, record};
 
-/// How a stream ended.
+/// Outcome of a stream.
 #[derive(Debug)]
-pub(super) enum Finish {
-    /// Whole.
+pub(super) enum StreamEnd {
+    /// The stream is complete.
     Complete,
-    /// With an upstream's answer that is no stream.
-    Answered(AnswerHead, Bytes),
-    /// Without a whole answer.
+    /// An upstream returned a response that is not a stream.
+    Response(AnswerHead, Bytes),
+    /// The request ended without a complete response.
     Ended(End),
-    /// The caller went away.
-    CallerLeft,
+    /// The caller disconnected.
+    CallerDisconnected,
 }
 
-/// Why an attempt did not finish the request.
+/// Why an attempt did not complete the stream.
 #[derive(Debug)]
-pub(super) enum Stopped {
-    /// The request ends here.
-    Finished(Finish),
-    /// The retry rule decides.
+pub(super) enum AttemptError {
+    /// The request ends without another attempt.
+    Finished(StreamEnd),
+    /// The attempt failed; the retry rule decides.
     Failed(AttemptFailure),
 }
 
-impl From<AttemptFailure> for Stopped {
+impl From<AttemptFailure> for AttemptError {
     fn from(failure: AttemptFailure) -> Self {
         Self::Failed(failure)
     }
 }
 
-impl From<End> for Stopped {
+impl From<End> for AttemptError {
     fn from(end: End) -> Self {
-        Self::Finished(Finish::Ended(end))
+        Self::Finished(StreamEnd::Ended(end))
     }
 }
 
 impl StreamRun {
-    /// Tells the caller and the log how the stream ended.
-    pub(super) async fn finish(&mut self, finish: Finish) {
+    /// Reports the outcome to the caller and to the log.
+    pub(super) async fn finish(&mut self, finish: StreamEnd) {
         let id = self.admitted.head.id.clone();
         match finish {
-            Finish::Complete => self.log_answer(http::StatusCode::OK.as_u16()),
-            Finish::Answered(head, body) => {
-                self.log_answer(head.status.as_u16());
-                self.output.end_with(Reply::of_upstream(head, body));
+            StreamEnd::Complete => self.log_response(http::StatusCode::OK.as_u16()),
+            StreamEnd::Response(head, body) => {
+                self.log_response(head.status.as_u16());
+                self.output.send_reply(Reply::of_upstream(head, body));
             }
-            Finish::Ended(end) => {
+            StreamEnd::Ended(end) => {
                 let reply = end.reply(&self.front, &self.admitted, self.attempts.sent);
-                if !self.output.end_with(reply) {
-                    self.output.break_off().await;
+                if !self.output.send_reply(reply) {
+                    self.output.abort().await;
                 }
             }
-            Finish::CallerLeft => record!(
+            StreamEnd::CallerDisconnected => record!(
                 events::LEFT_BY_CALLER,
                 request = id.as_str(),
                 phase = "streaming",
-                upstream = self.at_id(),
+                upstream = self.current_id(),
                 events = self.reader.events(),
             ),
         }
     }
 
-    fn log_answer(&self, status: u16) {
+    fn log_response(&self, status: u16) {
         let first = self
             .first_event_at
             .unwrap_or_else(|| self.front.clock.now());
-        let answer = Answered {
-            upstream: self.at_id(),
+        let answer = ForwardedResponse {
+            upstream: self.current_id(),
             status,
             attempts: self.attempts.sent,
             first_byte_at: first,
             events: self.reader.events(),
         };
-        answered(&self.front, &self.admitted, answer);
+        record_forwarded(&self.front, &self.admitted, answer);
     }
 }
--- a/trouttrack_front/src/request/stream/mod.rs
+++ b/trouttrack_front/src/request/stream/mod.rs
@@ -1,17 +1,17 @@
-//! A stream of events, passed on as they come.
+//! Event streams, forwarded as they arrive.
 //!
-//! - [`serve`] takes a stream in and waits for its head.
+//! - [`serve`] accepts a request and waits for the head of its response.
 //! - [`run`] drives the request through its attempts.
-//! - [`send`] sends it to one upstream.
-//! - [`retry`] says whether it is sent again.
-//! - [`finish`] ends it.
-//! - [`source`] is an upstream that sends a stream.
-//! - [`relay`] passes on what it sends.
-//! - [`go_on`] goes on at another upstream when the generation is moved.
-//! - [`output`] is the caller's end of it.
+//! - [`send`] sends it to an upstream.
+//! - [`retry`] decides whether it is sent again.
+//! - [`finish`] reports its outcome.
+//! - [`source`] receives the stream of an upstream.
+//! - [`relay`] forwards it.
+//! - [`continuation`] resumes it at another upstream, from a copy of the generation.
+//! - [`output`] writes it to the caller.
 
+mod continuation;
 mod finish;
-mod go_on;
 mod output;
 mod relay;
 mod retry;
--- a/trouttrack_front/src/request/stream/output.rs
+++ b/trouttrack_front/src/request/stream/output.rs
@@ -1,62 +1,62 @@
-//! The caller's end of a stream.
+//! Output of a stream to its caller.
 
 use crate::caller::{Broken, EventSender, Reply};
 use bytes::Bytes;
 use tokio::sync::oneshot;
 use trouttrack_platform::AnswerHead;
 
-/// The caller is not there any more.
+/// The caller closed its connection.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct CallerGone;
+pub(super) struct CallerDisconnected;
 
-/// Takes the head of an answer once, then pieces of its body.
+/// Sends the head of a response once, then chunks of its body.
 #[derive(Debug)]
 pub(super) struct Output {
     head: Option<oneshot::Sender<Reply>>,
-    pieces: EventSender,
+    chunks: EventSender,
 }
 
 impl Output {
-    pub(super) fn new(head: oneshot::Sender<Reply>, pieces: EventSender) -> Self {
+    pub(super) fn new(head: oneshot::Sender<Reply>, chunks: EventSender) -> Self {
         Self {
             head: Some(head),
-            pieces,
+            chunks,
         }
     }
 
-    /// Whether the head of a stream has been sent: its status is fixed, and
-    /// all that is left to say is the rest of it.
-    pub(super) fn is_begun(&self) -> bool {
+    /// Whether the head has been sent. The status is then fixed, and only the rest of the body
+    /// can follow.
+    pub(super) fn head_sent(&self) -> bool {
         self.head.is_none()
     }
 
-    /// Something that tells when the caller goes away.
-    pub(super) fn watcher(&self) -> EventSender {
-        self.pieces.clone()
+    /// Returns a sender whose `closed` completes when the caller disconnects.
+    pub(super) fn disconnect_watcher(&self) -> EventSender {
+        self.chunks.clone()
     }
 
     /// Sends the head of a stream.
-    pub(super) fn begin(&mut self, head: &AnswerHead) {
+    pub(super) fn send_head(&mut self, head: &AnswerHead) {
         if let Some(tx) = self.head.take() {
-            // If the caller is gone, the next piece tells.
+            // If the caller has disconnected, sending the next chunk fails.
             drop(tx.send(Reply::stream(head.clone())));
         }
     }
 
-    pub(super) async fn piece(&self, bytes: Bytes) -> Result<(), CallerGone> {
-        let sent = self.pieces.send(Ok(bytes)).await;
-        sent.map_err(|_| CallerGone)
+    pub(super) async fn send_chunk(&self, bytes: Bytes) -> Result<(), CallerDisconnected> {
+        let sent = self.chunks.send(Ok(bytes)).await;
+        sent.map_err(|_| CallerDisconnected)
     }
 
-    /// Ends with an answer that is no stream. Returns whether it could still
-    /// be given.
-    pub(super) fn end_with(&mut self, reply: Reply) -> bool {
+    /// Sends a reply that is not a stream. Returns `false` if the head was already sent or the
+    /// caller has disconnected.
+    pub(super) fn send_reply(&mut self, reply: Reply) -> bool {
         self.head.take().is_some_and(|tx| tx.send(reply).is_ok())
     }
 
-    /// Ends a stream so that the caller sees that something is missing.
-    pub(super) async fn break_off(&self) {
-        // If the caller is gone, nobody is left to see it.
-        drop(self.pieces.send(Err(Broken)).await);
+    /// Aborts the stream, so that the caller can tell that it is incomplete.
+    pub(super) async fn abort(&self) {
+        // The error does not matter if the caller has disconnected.
+        drop(self.chunks.send(Err(Broken)).await);
     }
 }
--- a/trouttrack_front/src/request/stream/relay.rs
+++ b/trouttrack_front/src/request/stream/relay.rs
@@ -1,173 +1,190 @@
-//! Passing on what one upstream sends, until its end or until the generation
-//! is to go on elsewhere.
+//! Forwards the stream of an upstream until it ends or the generation continues at another
+//! upstream.
 
-use super::finish::{Finish, Stopped};
+use super::finish::{AttemptError, StreamEnd};
 use super::run::StreamRun;
-use super::source::{Next, Source};
-use crate::request::attempt::{AttemptFailure, STREAM_BROKE_OFF};
-use crate::request::submission::{SHORT_TOKENS, is_short};
-use crate::rescue::{Carried, Carry, CarryTask};
+use super::source::{Source, SourceEvent};
+use crate::request::attempt::{AttemptFailure, STREAM_TRUNCATED};
+use crate::request::submission::{SHORT_REQUEST_MAX_TOKENS, is_short};
+use crate::rescue::{GenerationMove, MoveOutcome, MoveTask};
 use crate::state::{Ticket, Upstream};
 use bytes::Bytes;
 use std::rc::Rc;
 use std::time::Duration;
 use trouttrack_core::request::Failure;
 
-/// How long the last events of a stopped generation may take to arrive: its
-/// stream is closed before the copy's answer is sent.
-const LAST_EVENTS: Duration = Duration::from_millis(100);
-/// Events between two updates of the memory forecast; the first one, which shows that
-/// the prompt is loaded, is one of them.
-const PROGRESS_EVERY: u64 = 8;
+/// Time limit for the last events of a stopped generation. Its stream is closed before the
+/// copy command is answered, so they are already on their way.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(100);
+/// Events between two updates of the memory forecast. The first event, which shows that the
+/// prompt is loaded, always causes an update.
+const PROGRESS_INTERVAL_EVENTS: u64 = 8;
 
-/// How an upstream's part of a stream ended.
+/// How the relay from one upstream ended.
 #[derive(Debug)]
-pub(super) enum Relayed {
-    /// The stream is whole.
+pub(super) enum RelayEnd {
+    /// The stream is complete.
     Complete,
-    /// It goes on at another upstream.
-    GoesOn(Box<Source>),
+    /// The stream continues at another upstream.
+    Continued(Box<Source>),
 }
 
 impl StreamRun {
-    /// Passes on a source's events.
+    /// Forwards the events of a source, and moves the generation if its upstream leaves.
     pub(super) async fn relay(
         &mut self,
         source: &mut Source,
         ticket: &Rc<Ticket>,
-    ) -> Result<Relayed, Stopped> {
-        let mut carry: Option<CarryTask> = None;
+    ) -> Result<RelayEnd, AttemptError> {
+        let mut move_task: Option<MoveTask> = None;
         loop {
-            let silence = self.longest_silence().filter(|_| carry.is_none());
-            match source.next(carry.as_mut(), self.may_move(), silence).await {
-                Next::Piece(bytes) => self.pass_on(source, &bytes, ticket).await?,
-                Next::Ended => match self.surely_ended(source, carry.take()).await {
-                    Carried::NotMoved => return self.end_whole(source).await,
-                    Carried::Moved(moved) => return self.go_on(source, moved, ticket).await,
-                    Carried::Stopped => return self.broken_off(source, None, ticket).await,
+            let idle_timeout = self.idle_timeout().filter(|_| move_task.is_none());
+            match source
+                .next(move_task.as_mut(), self.may_move(), idle_timeout)
+                .await
+            {
+                SourceEvent::Chunk(bytes) => self.forward(source, &bytes, ticket).await?,
+                SourceEvent::Ended => match self.resolve_end(source, move_task.take()).await {
+                    MoveOutcome::NotMoved => return self.finish_stream(source).await,
+                    MoveOutcome::Moved(moved) => {
+                        return self.resume_after_move(source, moved, ticket).await;
+                    }
+                    MoveOutcome::Stopped => {
+                        return self.recover_truncated(source, None, ticket).await;
+                    }
                 },
-                Next::BrokenOff => return self.broken_off(source, carry.take(), ticket).await,
-                Next::Silent => {
+                SourceEvent::Truncated => {
+                    return self
+                        .recover_truncated(source, move_task.take(), ticket)
+                        .await;
+                }
+                SourceEvent::Idle => {
                     return Err(AttemptFailure::new(Failure::Lost, "the stream is silent").into());
                 }
-                Next::Leaves => carry = Some(self.carry(source, ticket)),
-                Next::Carried(Carried::Moved(moved)) => {
+                SourceEvent::UpstreamLeaving => move_task = Some(self.start_move(source, ticket)),
+                SourceEvent::MoveFinished(MoveOutcome::Moved(moved)) => {
                     self.drain(source, ticket).await?;
-                    return self.go_on(source, moved, ticket).await;
+                    return self.resume_after_move(source, moved, ticket).await;
                 }
-                Next::Carried(not_moved) => {
-                    carry = None;
+                SourceEvent::MoveFinished(not_moved) => {
+                    move_task = None;
                     source.move_failed = true;
-                    source.may_be_stopped = matches!(not_moved, Carried::Stopped);
+                    source.generation_may_be_stopped = matches!(not_moved, MoveOutcome::Stopped);
                 }
             }
         }
     }
 
-    /// Whether the generation is worth moving. A caller's guess may be far off:
-    /// what has written more than a short one is not short.
+    /// Whether the generation may be moved. Short ones are not worth it; a generation that has
+    /// written more tokens than a short one counts as long, whatever its caller guessed.
     fn may_move(&self) -> bool {
-        let short = is_short(&self.admitted) && self.tokens() <= SHORT_TOKENS;
-        self.front.serving.rescue && !short && self.engine().is_some_and(|e| e.moves)
+        let short = is_short(&self.admitted) && self.tokens() <= SHORT_REQUEST_MAX_TOKENS;
+        self.front.serving.rescue && !short && self.engine_spec().is_some_and(|e| e.moves)
     }
 
     /// Starts moving the generation.
-    fn carry(&self, source: &Source, ticket: &Rc<Ticket>) -> CarryTask {
-        let carry = Carry {
+    fn start_move(&self, source: &Source, ticket: &Rc<Ticket>) -> MoveTask {
+        let generation_move = GenerationMove {
             front: Rc::clone(&self.front),
             id: self.admitted.head.id.clone(),
             source: Rc::clone(&source.upstream),
             ticket: Rc::clone(ticket),
         };
-        carry.start()
+        generation_move.start()
     }
 
-    /// Passes on the whole events that more bytes complete.
-    async fn pass_on(
+    /// Forwards the events that these bytes complete.
+    async fn forward(
         &mut self,
         source: &mut Source,
         bytes: &[u8],
         ticket: &Ticket,
-    ) -> Result<(), Stopped> {
-        let before = self.reader.events();
+    ) -> Result<(), AttemptError> {
+        let events_before = self.reader.events();
         let whole = self.reader.push(bytes);
         if whole.is_empty() {
             return Ok(());
         }
-        let after = self.reader.events();
+        let events_after = self.reader.events();
         source.last_event_at = Some(self.front.clock.now());
-        self.front.metrics.events.inc_by(after - before);
-        let begins = before == 0;
-        if begins || before / PROGRESS_EVERY != after / PROGRESS_EVERY {
+        self.front
+            .metrics
+            .events
+            .inc_by(events_after - events_before);
+        let is_first = events_before == 0;
+        if is_first
+            || events_before / PROGRESS_INTERVAL_EVENTS != events_after / PROGRESS_INTERVAL_EVENTS
+        {
             ticket.progress(self.tokens());
         }
-        self.give(source, whole).await
+        self.send_to_caller(source, whole).await
     }
 
-    /// Gives the caller bytes, after the head if they are the first.
-    async fn give(&mut self, source: &Source, bytes: Bytes) -> Result<(), Stopped> {
+    /// Sends bytes to the caller, preceded by the head if they are the first.
+    async fn send_to_caller(&mut self, source: &Source, bytes: Bytes) -> Result<(), AttemptError> {
         self.output
-            .begin(self.head.as_ref().unwrap_or(&source.head));
-        self.delivered();
-        let given = self.output.piece(bytes).await;
-        given.map_err(|_| Stopped::Finished(Finish::CallerLeft))
+            .send_head(self.head.as_ref().unwrap_or(&source.head));
+        self.mark_first_event();
+        let sent = self.output.send_chunk(bytes).await;
+        sent.map_err(|_| AttemptError::Finished(StreamEnd::CallerDisconnected))
     }
 
-    /// What the end of a source's body means. A stream whose end is marked is
-    /// whole; one that ends with its connection may have been stopped for a move.
-    async fn surely_ended(&self, source: &Source, carry: Option<CarryTask>) -> Carried {
-        let Some(carry) = carry else {
-            return match source.may_be_stopped && !source.framed {
-                true => Carried::Stopped,
-                false => Carried::NotMoved,
+    /// Determines whether the end of a body is the end of the stream. A framed body is complete;
+    /// one that ends with its connection may have been stopped for a move.
+    async fn resolve_end(&self, source: &Source, move_task: Option<MoveTask>) -> MoveOutcome {
+        let Some(move_task) = move_task else {
+            return match source.generation_may_be_stopped && !source.framed {
+                true => MoveOutcome::Stopped,
+                false => MoveOutcome::NotMoved,
             };
         };
         if source.framed {
-            carry.discard(&self.front);
-            return Carried::NotMoved;
+            move_task.discard(&self.front);
+            return MoveOutcome::NotMoved;
         }
-        carry.outcome().await
+        move_task.outcome().await
     }
 
-    /// Ends with what came after the last whole event.
-    async fn end_whole(&mut self, source: &Source) -> Result<Relayed, Stopped> {
-        self.end_marked = source.framed;
-        let rest = self.reader.rest();
-        if !rest.is_empty() || !self.output.is_begun() {
-            self.give(source, rest).await?;
+    /// Completes the stream with the bytes after the last complete event.
+    async fn finish_stream(&mut self, source: &Source) -> Result<RelayEnd, AttemptError> {
+        self.framed = source.framed;
+        let remainder = self.reader.take_remainder();
+        if !remainder.is_empty() || !self.output.head_sent() {
+            self.send_to_caller(source, remainder).await?;
         }
-        Ok(Relayed::Complete)
+        Ok(RelayEnd::Complete)
     }
 
-    /// Goes on at whichever engine has the memory, if one does.
-    async fn broken_off(
+    /// Resumes a truncated stream at an engine that holds a copy of the KV cache, if any: the
+    /// target of the move or the backup.
+    async fn recover_truncated(
         &mut self,
         source: &mut Source,
-        carry: Option<CarryTask>,
+        move_task: Option<MoveTask>,
         ticket: &Rc<Ticket>,
-    ) -> Result<Relayed, Stopped> {
-        if let Some(carry) = carry
-            && let Carried::Moved(moved) = carry.outcome().await
+    ) -> Result<RelayEnd, AttemptError> {
+        if let Some(move_task) = move_task
+            && let MoveOutcome::Moved(moved) = move_task.outcome().await
         {
-            return self.go_on(source, moved, ticket).await;
+            return self.resume_after_move(source, moved, ticket).await;
         }
-        let failure = AttemptFailure::new(Failure::Lost, STREAM_BROKE_OFF);
-        let wants = |b: &Rc<Upstream>| self.front.scheduler.wants_work(&b.id);
-        match source.backup.take().filter(wants) {
+        let failure = AttemptFailure::new(Failure::Lost, STREAM_TRUNCATED);
+        let wants_work_at = |b: &Rc<Upstream>| self.front.scheduler.wants_work(&b.id);
+        match source.backup.take().filter(wants_work_at) {
             Some(target) => {
-                self.learn_failed(&source.upstream, &failure).await;
-                self.check_held()?;
-                self.restore(source, target, ticket).await
+                self.on_failure(&source.upstream, &failure).await;
+                self.check_quarantine()?;
+                self.resume_from_backup(source, target, ticket).await
             }
             None => Err(failure.into()),
         }
     }
 
-    /// Takes the events that a stopped generation sent before its end.
-    async fn drain(&mut self, source: &mut Source, ticket: &Ticket) -> Result<(), Stopped> {
-        let until = tokio::time::Instant::now() + LAST_EVENTS;
+    /// Forwards the events that a stopped generation sent before its stream closed.
+    async fn drain(&mut self, source: &mut Source, ticket: &Ticket) -> Result<(), AttemptError> {
+        let until = tokio::time::Instant::now() + DRAIN_TIMEOUT;
         while let Ok(Ok(Some(bytes))) = tokio::time::timeout_at(until, source.body.next()).await {
-            self.pass_on(source, &bytes, ticket).await?;
+            self.forward(source, &bytes, ticket).await?;
         }
         Ok(())
     }
--- a/trouttrack_front/src/request/stream/retry.rs
+++ b/trouttrack_front/src/request/stream/retry.rs
@@ -1,4 +1,4 @@
-//! Whether and when a stream's request is sent again.
+//! Retries and idle timeouts of a stream.
 
 use super::run::StreamRun;
 use crate::request::attempt::AttemptFailure;
@@ -10,18 +10,18 @@
 use trouttrack_core::request::{Failure, StepResult};
 use trouttrack_telemetry::{events, record};
 
-/// Pauses of the objective that an upstream may be silent for: fewer are met
-/// under load.
-const SILENT_PAUSES: u32 = 5;
-/// The same before the first event, in parts of its objective.
-const SILENT_FIRST: f64 = 1.2;
+/// Idle timeout between events, in multiples of the longest pause of the route. Smaller
+/// multiples occur under load.
+const IDLE_TIMEOUT_PAUSES: u32 = 5;
+/// Idle timeout before the first event, in multiples of the objective of the route.
+const FIRST_EVENT_TIMEOUT_FACTOR: f64 = 1.2;
 
 impl StreamRun {
-    /// What the retry rule says; `None` to try again.
-    pub(super) fn end_after(&mut self, failure: AttemptFailure) -> Option<End> {
-        // With events passed on, only what is missing may be asked for, and
-        // any failure to get it is the same.
-        let kind = match self.output.is_begun() {
+    /// Applies the retry rule to a failure. Returns `None` to try again.
+    pub(super) fn end_after_failure(&mut self, failure: AttemptFailure) -> Option<End> {
+        // Once events have been forwarded, only the remaining ones may be requested, so all
+        // failures are equivalent.
+        let kind = match self.output.head_sent() {
             true => Failure::Lost,
             false => failure.failure,
         };
@@ -36,10 +36,10 @@
             return None;
         }
         let end = match step {
-            StepResult::Ended(outcome) => End::of_outcome(outcome, failure.reason),
-            StepResult::Try(_) => End::of_outcome(Outcome::NotRun, failure.reason),
+            StepResult::Ended(outcome) => End::from_outcome(outcome, failure.reason),
+            StepResult::Try(_) => End::from_outcome(Outcome::NotRun, failure.reason),
         };
-        Some(end.unless_run(self.may_have_run))
+        Some(end.uncertain_if_run(self.may_have_run))
     }
 
     fn may_retry(&self, failure: Failure) -> bool {
@@ -48,9 +48,9 @@
             .may_retry(front, admitted, &self.service, failure)
     }
 
-    /// The longest silence before another upstream is asked, where that is
-    /// allowed.
-    pub(super) fn longest_silence(&self) -> Option<Duration> {
+    /// Time without data after which another upstream is tried; `None` if the route or the
+    /// attempt limit does not allow that.
+    pub(super) fn idle_timeout(&self) -> Option<Duration> {
         let RouteKind::Stream {
             resumable: true,
             longest_pause,
@@ -62,12 +62,17 @@
             return None;
         }
         match self.first_event_at {
-            None => Some(self.admitted.route.objective.mul_f64(SILENT_FIRST)),
-            Some(_) => longest_pause.map(|pause| pause * SILENT_PAUSES),
+            None => Some(
+                self.admitted
+                    .route
+                    .objective
+                    .mul_f64(FIRST_EVENT_TIMEOUT_FACTOR),
+            ),
+            Some(_) => longest_pause.map(|pause| pause * IDLE_TIMEOUT_PAUSES),
         }
     }
 
-    /// The end at the caller's deadline.
+    /// Outcome when the caller's deadline expires.
     pub(super) fn timed_out(&self) -> End {
         match self.may_have_run {
             true => End::Uncertain {
--- a/trouttrack_front/src/request/stream/run.rs
+++ b/trouttrack_front/src/request/stream/run.rs
@@ -1,16 +1,16 @@
-//! A stream's way through its attempts.
+//! Drives a stream through its attempts.
 
-use super::finish::{Finish, Stopped};
+use super::finish::{AttemptError, StreamEnd};
 use super::output::Output;
-use super::relay::Relayed;
+use super::relay::RelayEnd;
 use super::source::Source;
 use crate::caller::Admitted;
 use crate::request::EventReader;
-use crate::request::attempt::{Attempt, AttemptFailure, handover};
+use crate::request::attempt::{AttemptFailure, FailedAttempt, handover};
 use crate::request::end::End;
-use crate::request::retry::Attempts;
-use crate::request::submission::{is_short, submission};
-use crate::request::suspicion::Suspicion;
+use crate::request::quarantine::QuarantineCheck;
+use crate::request::retry::AttemptCounts;
+use crate::request::submission::{build_submission, is_short};
 use crate::state::{Front, InFlight, Ticket, Upstream};
 use bytes::Bytes;
 use std::rc::Rc;
@@ -20,45 +20,39 @@
 use trouttrack_platform::AnswerHead;
 use trouttrack_telemetry::{events, record};
 
-/// One stream.
+/// State of a stream.
 #[derive(Debug)]
 pub(super) struct StreamRun {
-    /// The front.
     pub(super) front: Rc<Front>,
-    /// The request.
     pub(super) admitted: Rc<Admitted>,
-    /// The service that was drawn for it.
+    /// Service drawn from the route.
     pub(super) service: ServiceId,
-    /// The request's body.
+    /// Request body.
     pub(super) body: Bytes,
-    /// The caller's end.
     pub(super) output: Output,
-    /// Cuts what comes into events.
     pub(super) reader: EventReader,
-    /// The retry rule.
+    /// State of the retry rule.
     pub(super) machine: Machine,
-    /// Upstreams that it was placed on.
+    /// Upstreams that were already tried.
     avoid: Vec<UpstreamId>,
-    /// The upstream that has the request now, or had it last.
-    pub(super) at: Option<Rc<Upstream>>,
-    /// When that upstream was given it.
-    began_at: Time,
-    /// What is known against the request.
-    pub(super) suspicion: Suspicion,
-    /// The attempts so far.
-    pub(super) attempts: Attempts,
-    /// An upstream may have begun to run it.
+    /// Upstream of the latest attempt.
+    pub(super) current: Option<Rc<Upstream>>,
+    /// Start of the latest attempt.
+    attempt_started_at: Time,
+    pub(super) quarantine: QuarantineCheck,
+    pub(super) attempts: AttemptCounts,
+    /// Whether an upstream may have begun to run the request.
     pub(super) may_have_run: bool,
-    /// The head to be sent with the first event.
+    /// Head of the first upstream, if the stream was continued before its first event.
     pub(super) head: Option<AnswerHead>,
-    /// When the first event was passed on.
+    /// Time at which the first event was forwarded.
     pub(super) first_event_at: Option<Time>,
-    /// Whether the end of the stream was marked: one that is not may be an upstream's.
-    pub(super) end_marked: bool,
+    /// Whether the body was framed. Without framing, the exit of the upstream cannot be told
+    /// from the end of the stream.
+    pub(super) framed: bool,
 }
 
 impl StreamRun {
-    /// A run that has not begun.
     pub(super) fn new(
         front: Rc<Front>,
         admitted: Admitted,
@@ -81,62 +75,62 @@
             output,
             reader: EventReader::default(),
             avoid: Vec::new(),
-            at: None,
-            began_at: Time::ZERO,
-            suspicion: Suspicion::default(),
-            attempts: Attempts::default(),
+            current: None,
+            attempt_started_at: Time::ZERO,
+            quarantine: QuarantineCheck::default(),
+            attempts: AttemptCounts::default(),
             may_have_run: false,
             head: None,
             first_event_at: None,
-            end_marked: false,
+            framed: false,
         }
     }
 
-    /// Runs the stream to its end.
+    /// Runs the stream until it ends, its caller disconnects or its deadline expires.
     pub(super) async fn run(mut self, in_flight: InFlight) {
-        let caller = self.output.watcher();
+        let caller = self.output.disconnect_watcher();
         let deadline = self.front.clock.instant(self.admitted.deadline);
         let finish = tokio::select! {
             biased;
-            () = caller.closed() => Finish::CallerLeft,
-            finish = self.drive() => finish,
-            () = tokio::time::sleep_until(deadline) => Finish::Ended(self.timed_out()),
+            () = caller.closed() => StreamEnd::CallerDisconnected,
+            finish = self.run_attempts() => finish,
+            () = tokio::time::sleep_until(deadline) => StreamEnd::Ended(self.timed_out()),
         };
         self.finish(finish).await;
         drop(in_flight);
     }
 
     /// Makes attempts until the request ends.
-    async fn drive(&mut self) -> Finish {
+    async fn run_attempts(&mut self) -> StreamEnd {
         loop {
             let failure = match self.attempt().await {
-                Ok(()) => return Finish::Complete,
-                Err(Stopped::Finished(finish)) => return finish,
-                Err(Stopped::Failed(failure)) => failure,
+                Ok(()) => return StreamEnd::Complete,
+                Err(AttemptError::Finished(end)) => return end,
+                Err(AttemptError::Failed(failure)) => failure,
             };
-            if let Some(end) = self.end_after(failure) {
-                return Finish::Ended(end);
+            if let Some(end) = self.end_after_failure(failure) {
+                return StreamEnd::Ended(end);
             }
         }
     }
 
-    /// One placing of the request, up to the end of its stream.
-    async fn attempt(&mut self) -> Result<(), Stopped> {
-        self.check_held()?;
-        let submission = submission(&self.front, &self.admitted, &self.service, &self.avoid);
+    /// Makes one attempt: placement, forwarding of the stream and accounting.
+    async fn attempt(&mut self) -> Result<(), AttemptError> {
+        self.check_quarantine()?;
+        let submission = build_submission(&self.front, &self.admitted, &self.service, &self.avoid);
         let placed = self.front.scheduler.place(submission).await;
         let placed = placed.map_err(|refusal| {
-            let end = End::refused(&refusal).unless_run(self.may_have_run);
-            Stopped::Finished(Finish::Ended(end))
+            let end = End::refused(&refusal).uncertain_if_run(self.may_have_run);
+            AttemptError::Finished(StreamEnd::Ended(end))
         })?;
         if !self.admitted.still_admitted(&self.front) {
-            let end = End::not_run("keys cannot be confirmed").unless_run(self.may_have_run);
-            return Err(Stopped::Finished(Finish::Ended(end)));
+            let end = End::not_run("keys cannot be confirmed").uncertain_if_run(self.may_have_run);
+            return Err(AttemptError::Finished(StreamEnd::Ended(end)));
         }
-        // Another VM may have told of it while it waited.
-        self.check_held()?;
+        // Another VM may have reported the request while it was queued.
+        self.check_quarantine()?;
         let Some(upstream) = self.front.upstreams.get(&placed.upstream) else {
-            self.attempts.unconnected += 1;
+            self.attempts.connect_failures += 1;
             return Err(AttemptFailure::new(Failure::NotConnected, "the upstream is gone").into());
         };
         self.front.metrics.decided(placed.loading, placed.known);
@@ -153,133 +147,145 @@
             guessed_tokens = self.admitted.head.guessed_tokens,
             attempt = self.attempts.sent + 1,
         );
-        self.at = Some(Rc::clone(&upstream));
-        self.began_at = self.front.clock.now();
+        self.current = Some(Rc::clone(&upstream));
+        self.attempt_started_at = self.front.clock.now();
         self.avoid.push(upstream.id.clone());
         let ticket = Rc::new(placed.ticket);
-        let outcome = self.stream_from(upstream, &ticket).await;
-        self.account(&outcome, &ticket);
+        let outcome = self.run_at(upstream, &ticket).await;
+        self.record_outcome(&outcome, &ticket);
         drop(ticket);
-        self.learn(&outcome).await;
+        self.update_quarantine(&outcome).await;
         outcome
     }
 
-    /// Ends the request if upstreams end when they run it.
-    pub(super) fn check_held(&self) -> Result<(), End> {
-        let held = self.suspicion.held(&self.front, &self.admitted, &self.body);
-        held.map_or(Ok(()), |end| Err(end.unless_run(self.may_have_run)))
+    /// Ends the request if it is quarantined.
+    pub(super) fn check_quarantine(&self) -> Result<(), End> {
+        let quarantined = self
+            .quarantine
+            .check(&self.front, &self.admitted, &self.body);
+        quarantined.map_or(Ok(()), |end| Err(end.uncertain_if_run(self.may_have_run)))
     }
 
-    /// What an attempt says of the request.
-    async fn learn(&self, outcome: &Result<(), Stopped>) {
-        match (outcome, &self.at) {
-            (Ok(()), _) if self.end_marked => {
+    /// Updates the quarantine record of the request from the result of an attempt.
+    async fn update_quarantine(&self, outcome: &Result<(), AttemptError>) {
+        match (outcome, &self.current) {
+            (Ok(()), _) if self.framed => {
                 let (front, admitted) = (&self.front, &self.admitted);
-                self.suspicion.ran_well(front, admitted, &self.body);
+                self.quarantine.record_run(front, admitted, &self.body);
             }
-            (Err(Stopped::Failed(failure)), Some(at)) => self.learn_failed(at, failure).await,
+            (Err(AttemptError::Failed(failure)), Some(at)) => self.on_failure(at, failure).await,
             _ => {}
         }
     }
 
-    /// What a failure at an upstream says of the request.
-    pub(super) async fn learn_failed(&self, at: &Rc<Upstream>, failure: &AttemptFailure) {
+    /// Updates the quarantine record of the request after a failure at an upstream.
+    pub(super) async fn on_failure(&self, upstream: &Rc<Upstream>, failure: &AttemptFailure) {
         let (front, admitted) = (&self.front, &self.admitted);
-        let learning = self
-            .suspicion
-            .failed(front, admitted, &self.body, at, failure);
-        learning.await;
+        let update = self
+            .quarantine
+            .record_failure(front, admitted, &self.body, upstream, failure);
+        update.await;
     }
 
-    /// The id of the upstream that has the request now, or had it last.
-    pub(super) fn at_id(&self) -> &str {
-        self.at.as_ref().map_or("", |at| at.id.as_str())
+    /// Id of the upstream of the latest attempt; empty before the first one.
+    pub(super) fn current_id(&self) -> &str {
+        self.current
+            .as_ref()
+            .map_or("", |current| current.id.as_str())
     }
 
-    /// Tells the tables what an attempt says of its upstream.
-    fn account(&self, outcome: &Result<(), Stopped>, ticket: &Ticket) {
+    /// Reports the result of an attempt to the scheduler.
+    fn record_outcome(&self, outcome: &Result<(), AttemptError>, ticket: &Ticket) {
         match outcome {
             Ok(()) => ticket.complete(self.tokens()),
-            Err(Stopped::Failed(failure)) => {
-                let attempt = Attempt {
-                    upstream: self.at_id(),
+            Err(AttemptError::Failed(failure)) => {
+                let attempt = FailedAttempt {
+                    upstream: self.current_id(),
                     body: &self.body,
-                    suspicion: &self.suspicion,
-                    began_at: self.began_at,
+                    quarantine: &self.quarantine,
+                    started_at: self.attempt_started_at,
                     events: self.reader.events(),
                 };
                 failure.report(&self.front, &self.admitted, &attempt);
                 match failure.failure {
-                    _ if failure.was_withdrawn() => {}
+                    _ if failure.cancelled_before_send() => {}
                     Failure::Refused => ticket.refused(),
                     Failure::NotConnected => ticket.unreachable(),
-                    Failure::Lost if failure.lost_connection() => ticket.lost(),
+                    Failure::Lost if failure.closed_without_response() => ticket.lost(),
                     Failure::Lost | Failure::Aborted => ticket.fault(),
                 }
             }
-            // It ends at once, so what fails has nothing running and would be taken for the
-            // best one: of 40 streams beside an engine that serves, 24 failed, now 6.
-            Err(Stopped::Finished(Finish::Answered(head, _))) if head.status.is_server_error() => {
+            // A failing engine responds at once, so it has nothing running and would look like
+            // the best candidate. With a healthy engine beside it, 24 of 40 streams failed
+            // without this fault report, and 6 of 40 with it.
+            Err(AttemptError::Finished(StreamEnd::Response(head, _)))
+                if head.status.is_server_error() =>
+            {
                 ticket.fault();
             }
-            Err(Stopped::Finished(_)) => {}
+            Err(AttemptError::Finished(_)) => {}
         }
     }
 
-    /// Sends the request to an upstream and passes its stream on, also where it
-    /// goes on elsewhere.
-    async fn stream_from(
+    /// Sends the request to an upstream and forwards its stream, following it to other
+    /// upstreams if the generation is moved.
+    async fn run_at(
         &mut self,
         upstream: Rc<Upstream>,
         ticket: &Rc<Ticket>,
-    ) -> Result<(), Stopped> {
+    ) -> Result<(), AttemptError> {
         let mut to = handover(&self.front, &self.admitted, &upstream);
         if let Some(last) = self.reader.last_id() {
             to.last_event = Some(last.to_owned());
         }
-        let backup = self.backup(&upstream, ticket);
-        to.backup_at = backup.as_ref().map(|b| b.addr);
+        let select_backup = self.select_backup(&upstream, ticket);
+        to.backup_at = select_backup.as_ref().map(|b| b.addr);
         let sent = self.send(&upstream, &to).await?;
-        let mut source = Source::new(upstream, sent, backup);
-        self.reader.goes_on();
+        let mut source = Source::new(upstream, sent, select_backup);
+        self.reader.skip_delivered();
         loop {
             match self.relay(&mut source, ticket).await? {
-                Relayed::Complete => return Ok(()),
-                Relayed::GoesOn(next) => source = *next,
+                RelayEnd::Complete => return Ok(()),
+                RelayEnd::Continued(next) => source = *next,
             }
         }
     }
 
-    /// Events were passed on.
-    pub(super) fn delivered(&mut self) {
+    /// Records that events were forwarded.
+    pub(super) fn mark_first_event(&mut self) {
         if self.first_event_at.is_none() {
             self.first_event_at = Some(self.front.clock.now());
             self.machine.token();
         }
     }
 
-    /// Tokens written so far.
+    /// Number of tokens forwarded so far, estimated from the events.
     pub(super) fn tokens(&self) -> u64 {
-        let per_event = self.engine().map_or(1, |e| e.tokens_per_event);
+        let per_event = self.engine_spec().map_or(1, |e| e.tokens_per_event);
         self.reader.events() * per_event
     }
 
-    /// What the service's engines can do.
-    pub(super) fn engine(&self) -> Option<&EngineSpec> {
+    /// Capabilities of the engines of the service.
+    pub(super) fn engine_spec(&self) -> Option<&EngineSpec> {
         let service = self.admitted.table.service(&self.service)?;
         service.engine.as_ref()
     }
 
-    /// The engine that is to keep a copy of the memory, if there is room.
-    pub(super) fn backup(&self, upstream: &Upstream, ticket: &Ticket) -> Option<Rc<Upstream>> {
-        let below = self.front.serving.backup_below;
-        let able = self.engine().is_some_and(|e| e.backups);
-        if below <= 0.0 || !able || is_short(&self.admitted) {
+    /// Selects an engine to keep a copy of the KV cache, if one has room below the configured
+    /// fill level.
+    pub(super) fn select_backup(
+        &self,
+        upstream: &Upstream,
+        ticket: &Ticket,
+    ) -> Option<Rc<Upstream>> {
+        let max_fill = self.front.serving.backup_below;
+        let supported = self.engine_spec().is_some_and(|e| e.backups);
+        if max_fill <= 0.0 || !supported || is_short(&self.admitted) {
             return None;
         }
         let avoid = [upstream.id.clone()];
         let target = ticket.target(&upstream.failure_domain, &avoid)?;
-        if target.fill > below {
+        if target.fill > max_fill {
             return None;
         }
         self.front.upstreams.get(&target.upstream)
--- a/trouttrack_front/src/request/stream/serve.rs
+++ b/trouttrack_front/src/request/stream/serve.rs
@@ -1,4 +1,4 @@
-//! Taking a stream in: its run goes on by itself, the head is waited for.
+//! Accepts a stream request, starts its task and waits for the head of the response.
 
 use super::output::Output;
 use super::run::StreamRun;
@@ -11,19 +11,19 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// What a token is taken to need while a VM that stops decides whether a
-/// stream still ends in time: an engine's step under load.
-const PER_TOKEN: Duration = Duration::from_millis(10);
+/// Time per token with which a stopping VM estimates whether a stream ends in time: one engine
+/// step under load.
+const ASSUMED_TIME_PER_TOKEN: Duration = Duration::from_millis(10);
 
-/// Serves a request. Returns the answer's head, and its body if it is a
-/// stream; the stream goes on by itself.
+/// Serves a request. Returns the head of the response, and its body if it is a stream. A
+/// separate task forwards the stream.
 pub(crate) async fn serve(
     front: &Rc<Front>,
     admitted: Admitted,
     body: Bytes,
     in_flight: InFlight,
 ) -> (Reply, Option<CallerBody>) {
-    if !takes(front, &admitted) {
+    if !accepts(front, &admitted) {
         return (End::stopping().reply(front, &admitted, 0), None);
     }
     let Some(service) = admitted.route.draw_service(&mut rand::rng()).cloned() else {
@@ -31,9 +31,9 @@
         return (end.reply(front, &admitted, 0), None);
     };
     let id = admitted.head.id.clone();
-    let (pieces, stream) = CallerBody::stream();
+    let (chunks, stream) = CallerBody::stream();
     let (head_tx, head) = oneshot::channel();
-    let output = Output::new(head_tx, pieces);
+    let output = Output::new(head_tx, chunks);
     let run = StreamRun::new(Rc::clone(front), admitted, service, body, output);
     actix_rt::spawn(run.run(in_flight));
     match head.await {
@@ -43,10 +43,10 @@
     }
 }
 
-/// A VM that stops takes a long stream only if it ends in time and no other VM
-/// could take it. Later in the stop guesses are not trusted: what is cut off then
-/// was taken in vain.
-fn takes(front: &Front, admitted: &Admitted) -> bool {
+/// Whether this VM accepts the request. A stopping VM accepts a long stream only if it ends in
+/// time and no other VM serves. Late in the stop, the token limit is used instead of the
+/// caller's guess, because the work of a stream that is cut off is lost.
+fn accepts(front: &Front, admitted: &Admitted) -> bool {
     let lifecycle = &front.lifecycle;
     if !lifecycle.is_stopping() {
         return true;
@@ -60,7 +60,7 @@
         Some(guess) => guess,
         None => head.most_tokens,
     };
-    let length = PER_TOKEN * u32::try_from(tokens).unwrap_or(u32::MAX);
-    let elsewhere = !is_short(admitted) && front.peers.any_serves(now);
-    !elsewhere && lifecycle.takes_request_of(now, length)
+    let length = ASSUMED_TIME_PER_TOKEN * u32::try_from(tokens).unwrap_or(u32::MAX);
+    let other_vm_serves = !is_short(admitted) && front.peers.any_serves(now);
+    !other_vm_serves && lifecycle.takes_request_of(now, length)
 }
--- a/trouttrack_front/src/request/stream/source.rs
+++ b/trouttrack_front/src/request/stream/source.rs
@@ -1,7 +1,7 @@
-//! An upstream that sends a stream, and what comes from it.
+//! Receives the stream of an upstream, together with the events that affect it.
 
-use crate::request::attempt::Sent;
-use crate::rescue::{Carried, CarryTask};
+use crate::request::attempt::UpstreamResponse;
+use crate::rescue::{MoveOutcome, MoveTask};
 use crate::state::Upstream;
 use bytes::Bytes;
 use std::rc::Rc;
@@ -12,32 +12,35 @@
 use trouttrack_http::AnswerBody;
 use trouttrack_platform::AnswerHead;
 
-/// An upstream that sends a stream.
+/// Upstream whose stream is being forwarded.
 #[derive(Debug)]
 pub(super) struct Source {
-    /// The upstream.
     pub(super) upstream: Rc<Upstream>,
-    /// The head of its answer.
+    /// Head of the response.
     pub(super) head: AnswerHead,
-    /// What is still to come of the answer.
+    /// Unread part of the response body.
     pub(super) body: AnswerBody,
-    /// Whether the body tells where it ends.
+    /// Whether the body is framed, by a length or by chunks, so that truncation is detectable.
     pub(super) framed: bool,
-    /// Whether and when the upstream leaves.
+    /// Announced departure of the upstream.
     departure: watch::Receiver<Option<Departure>>,
-    /// Whether a move was tried and came to nothing.
+    /// Whether a move was tried and failed.
     pub(super) move_failed: bool,
-    /// Whether that move may have stopped the generation.
-    pub(super) may_be_stopped: bool,
-    /// The engine that keeps a copy of the memory.
+    /// Whether the failed move may have stopped the generation.
+    pub(super) generation_may_be_stopped: bool,
+    /// Engine that keeps a copy of the KV cache.
     pub(super) backup: Option<Rc<Upstream>>,
-    /// When its last event arrived.
+    /// Arrival time of the last event.
     pub(super) last_event_at: Option<Time>,
 }
 
 impl Source {
-    /// An upstream whose answer's head has come.
-    pub(super) fn new(upstream: Rc<Upstream>, sent: Sent, backup: Option<Rc<Upstream>>) -> Self {
+    /// Creates a source from a response whose head has been received.
+    pub(super) fn new(
+        upstream: Rc<Upstream>,
+        sent: UpstreamResponse,
+        backup: Option<Rc<Upstream>>,
+    ) -> Self {
         Self {
             departure: upstream.departure(),
             upstream,
@@ -45,60 +48,60 @@
             body: sent.body,
             framed: sent.framed,
             move_failed: false,
-            may_be_stopped: false,
+            generation_may_be_stopped: false,
             backup,
             last_event_at: None,
         }
     }
 
-    /// Waits for what comes next.
+    /// Waits for the next event. `idle_timeout` limits the wait.
     pub(super) async fn next(
         &mut self,
-        carry: Option<&mut CarryTask>,
+        move_task: Option<&mut MoveTask>,
         may_move: bool,
-        silence: Option<Duration>,
-    ) -> Next {
-        let may_move = may_move && carry.is_none() && !self.move_failed;
-        let carried = async {
-            match carry {
+        idle_timeout: Option<Duration>,
+    ) -> SourceEvent {
+        let may_move = may_move && move_task.is_none() && !self.move_failed;
+        let moved = async {
+            match move_task {
                 Some(task) => task.finished().await,
                 None => std::future::pending().await,
             }
         };
-        let silent = async {
-            match silence {
-                Some(silence) => tokio::time::sleep(silence).await,
+        let idle = async {
+            match idle_timeout {
+                Some(idle_timeout) => tokio::time::sleep(idle_timeout).await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
             biased;
-            piece = self.body.next() => match piece {
-                Ok(Some(bytes)) => Next::Piece(bytes),
-                Ok(None) => Next::Ended,
-                Err(_) => Next::BrokenOff,
+            chunk = self.body.next() => match chunk {
+                Ok(Some(bytes)) => SourceEvent::Chunk(bytes),
+                Ok(None) => SourceEvent::Ended,
+                Err(_) => SourceEvent::Truncated,
             },
-            carried = carried => Next::Carried(carried),
-            // The sender is part of the upstream, which the source holds.
-            Ok(_) = self.departure.wait_for(Option::is_some), if may_move => Next::Leaves,
-            () = silent => Next::Silent,
+            moved = moved => SourceEvent::MoveFinished(moved),
+            // The sender is owned by the upstream, which the source keeps alive.
+            Ok(_) = self.departure.wait_for(Option::is_some), if may_move => SourceEvent::UpstreamLeaving,
+            () = idle => SourceEvent::Idle,
         }
     }
 }
 
-/// What comes next.
+/// Next event of a source.
 #[derive(Debug)]
-pub(super) enum Next {
-    /// More of the stream.
-    Piece(Bytes),
+pub(super) enum SourceEvent {
+    /// Bytes of the stream.
+    Chunk(Bytes),
     /// The end of the body.
     Ended,
-    /// The body broke off.
-    BrokenOff,
-    /// Nothing came for too long.
-    Silent,
-    /// The upstream leaves.
-    Leaves,
-    /// The move ended.
-    Carried(Carried),
+    /// The body was truncated.
+    Truncated,
+    /// Nothing arrived within the idle timeout.
+    Idle,
+    /// The upstream announced that it leaves.
+    UpstreamLeaving,
+    /// The move finished.
+    MoveFinished(MoveOutcome),
 }
--- a/trouttrack_front/src/request/submission.rs
+++ b/trouttrack_front/src/request/submission.rs
@@ -1,4 +1,4 @@
-//! What a request is submitted as to the scheduler.
+//! Builds the scheduler submission of a request.
 
 use crate::caller::Admitted;
 use crate::state::Front;
@@ -6,15 +6,14 @@
 use trouttrack_core::world::Submission;
 use trouttrack_core::{ServiceId, UpstreamId};
 
-/// The part of its objective that a request may wait for an upstream at each further attempt, also when the time for the first is over: what was
-/// tried may still be answered late.
-const WAIT_AGAIN: f64 = 0.2;
-/// A request whose caller guesses no more tokens than this is short: it needs
-/// no room to grow, and ends before it could be moved.
-pub(crate) const SHORT_TOKENS: u64 = 64;
+/// Fraction of the objective that a retry may wait for an upstream, even if the wait limit of
+/// the first attempt has expired: a late response is still useful.
+const RETRY_WAIT_FRACTION: f64 = 0.2;
+/// Largest expected token count of a short request. Such a request needs no room to grow and
+/// ends before it could be moved.
+pub(crate) const SHORT_REQUEST_MAX_TOKENS: u64 = 64;
 
-/// What the scheduler is asked for.
-pub(crate) fn submission(
+pub(crate) fn build_submission(
     front: &Front,
     admitted: &Admitted,
     service: &ServiceId,
@@ -22,11 +21,11 @@
 ) -> Submission {
     let head = &admitted.head;
     let organisation = admitted.organisation.clone().unwrap_or_default();
-    let patience = admitted
+    let queue_wait = admitted
         .route
         .objective
         .mul_f64(front.serving.wait_for_place);
-    let again = front.clock.now() + admitted.route.objective.mul_f64(WAIT_AGAIN);
+    let retry_deadline = front.clock.now() + admitted.route.objective.mul_f64(RETRY_WAIT_FRACTION);
     Submission {
         id: head.id.clone(),
         weight: 1.0,
@@ -35,8 +34,8 @@
         organisation,
         priority: class(admitted),
         prompt_tokens: head.prompt_tokens,
-        deadline: (admitted.received_at + patience)
-            .max(again)
+        deadline: (admitted.received_at + queue_wait)
+            .max(retry_deadline)
             .min(admitted.deadline),
         max_running: None,
         avoid: avoid.to_vec(),
@@ -45,7 +44,8 @@
     }
 }
 
-/// Core's class 0 never waits for memory; only short requests may be in it.
+/// Maps the rank to a priority class. Class 0 never waits for memory, so long streams are
+/// not admitted to it.
 fn class(admitted: &Admitted) -> u8 {
     match admitted.route.kind.is_stream() && !is_short(admitted) {
         true => admitted.rank.max(1),
@@ -53,10 +53,11 @@
     }
 }
 
-/// Whether a request is thought to write few tokens.
+/// Whether a request is expected to generate few tokens. Without a guess or a limit it counts
+/// as short.
 pub(crate) fn is_short(admitted: &Admitted) -> bool {
     let head = &admitted.head;
-    let most = Some(head.most_tokens).filter(|most| *most > 0);
-    let known = [head.guessed_tokens, most].into_iter().flatten().min();
-    known.is_none_or(|tokens| tokens <= SHORT_TOKENS)
+    let limit = Some(head.most_tokens).filter(|limit| *limit > 0);
+    let known = [head.guessed_tokens, limit].into_iter().flatten().min();
+    known.is_none_or(|tokens| tokens <= SHORT_REQUEST_MAX_TOKENS)
 }
--- a/trouttrack_front/src/rescue/mod.rs
+++ b/trouttrack_front/src/rescue/mod.rs
@@ -1,11 +1,11 @@
-//! Moving running generations away from an engine that leaves.
+//! Moves running generations away from an engine that leaves.
 
-mod ask;
-mod carry;
+mod generation_move;
 mod observe;
+mod poll;
 mod task;
 
-pub(crate) use ask::ask_engines;
-pub(crate) use carry::Carry;
+pub(crate) use generation_move::GenerationMove;
 pub(crate) use observe::observe;
-pub(crate) use task::{Carried, CarryTask, Moved};
+pub(crate) use poll::ask_engines;
+pub(crate) use task::{MoveOutcome, MoveTask, Moved};
--- a/trouttrack_front/src/rescue/observe.rs
+++ b/trouttrack_front/src/rescue/observe.rs
@@ -1,4 +1,4 @@
-//! Learning how much time a leaving engine has, and what it holds.
+//! Reads reports of a leaving engine: its remaining time and the generations it holds.
 
 use crate::state::{Front, Upstream};
 use std::rc::Rc;
@@ -9,40 +9,41 @@
 use trouttrack_platform::EngineReport;
 use trouttrack_telemetry::{events, record};
 
-/// How long a report may take; copies have begun meanwhile.
-const REPORT: Duration = Duration::from_millis(500);
+/// Time limit of a report. Copies start without waiting for it.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// When reports are asked for, after the notice. The first tells what the
-/// engine holds; reports are old, so only the second tells how much time is left.
-const ASK_AFTER: [Duration; 2] = [Duration::ZERO, REPORT_AGE];
+/// Delay before each report request, after the departure notice and after the previous report.
+/// The first report lists the generations. Reports may be [`REPORT_AGE`] old, so only the
+/// second one shows the remaining time.
+const REPORT_DELAYS: [Duration; 2] = [Duration::ZERO, REPORT_AGE];
 
-/// Asks a leaving engine for reports, and times the moves by them.
+/// Requests reports of a leaving engine and schedules the moves accordingly.
 pub(crate) async fn observe(front: Rc<Front>, upstream: Rc<Upstream>) {
     let table = front.routing.table();
     let engine = table.and_then(|t| t.service(&upstream.service)?.engine.clone());
     let Some(engine) = engine.filter(|e| e.moves && front.serving.rescue) else {
         return;
     };
-    for after in ASK_AFTER {
-        tokio::time::sleep(after).await;
+    for delay in REPORT_DELAYS {
+        tokio::time::sleep(delay).await;
         let asked_at = front.clock.now();
-        match front.engines.report(upstream.addr, REPORT).await {
-            Ok(report) => take(&front, &upstream, asked_at, &report, &engine),
+        match front.engines.report(upstream.addr, REPORT_TIMEOUT).await {
+            Ok(report) => apply_report(&front, &upstream, asked_at, &report, &engine),
             Err(e) => log::debug!("{e}"),
         }
     }
 }
 
-fn take(
+fn apply_report(
     front: &Front,
     upstream: &Upstream,
     asked_at: Time,
     report: &EngineReport,
     engine: &EngineSpec,
 ) {
-    let held: u64 = report.generations.iter().map(|(_, tokens)| tokens).sum();
-    let (service, home) = (&upstream.service, &upstream.failure_domain);
-    let near_room = front.scheduler.room_near(service, home);
+    let held_tokens: u64 = report.generations.iter().map(|(_, tokens)| tokens).sum();
+    let (service, failure_domain) = (&upstream.service, &upstream.failure_domain);
+    let near_room = front.scheduler.room_near(service, failure_domain);
     let now = front.clock.now();
     upstream.update_departure(|departure| {
         if let Some(left) = report.leaves_in {
@@ -55,7 +56,7 @@
         upstream = upstream.id.as_str(),
         how = "reported",
         generations = report.generations.len(),
-        held_tokens = held,
+        held_tokens = held_tokens,
         near_room_tokens = near_room as u64,
         leaves_in_ms = report.leaves_in.map(|left| left.as_millis() as u64),
     );
--- a/trouttrack_front/src/rescue/task.rs
+++ b/trouttrack_front/src/rescue/task.rs
@@ -1,4 +1,4 @@
-//! A move under way, and what became of it.
+//! Handle of a running move, and its outcome.
 
 use crate::state::{Front, Upstream};
 use std::cell::RefCell;
@@ -6,70 +6,76 @@
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// How long giving up a copy may take.
-const DISCARD: Duration = Duration::from_secs(1);
+/// Time limit of the request that discards a copy.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The handle of a copy that nobody has used.
-pub(super) type Unused = Rc<RefCell<Option<String>>>;
+/// Handle of a copy that has not been used.
+pub(super) type UnusedCopy = Rc<RefCell<Option<String>>>;
 
-/// A generation that was moved.
+/// Generation that was moved.
 #[derive(Clone, Debug)]
 pub(crate) struct Moved {
-    /// Where it goes on.
+    /// Engine that continues it.
     pub target: Rc<Upstream>,
-    /// The copy's handle.
+    /// Handle of the copy.
     pub handle: String,
-    /// How long the last step took, with the generation stopped.
+    /// Duration of the last step, during which the generation was stopped.
     pub stopping: Duration,
 }
 
-/// What became of a move.
+/// Outcome of a move.
 #[derive(Clone, Debug)]
-pub(crate) enum Carried {
-    /// The generation is stopped and its memory is at the target.
+pub(crate) enum MoveOutcome {
+    /// The generation is stopped and the target holds its KV cache.
     Moved(Moved),
-    /// The generation was left where it is.
+    /// The generation stays at its engine.
     NotMoved,
-    /// The generation may have been stopped, and goes on nowhere.
+    /// The generation may have been stopped, and no engine continues it.
     Stopped,
 }
 
-/// A move under way; dropped, it is given up.
+/// Running move. Dropping it aborts the move.
 #[derive(Debug)]
-pub(crate) struct CarryTask {
-    task: JoinHandle<Carried>,
+pub(crate) struct MoveTask {
+    task: JoinHandle<MoveOutcome>,
     source: Rc<Upstream>,
-    unused: Unused,
+    unused_copy: UnusedCopy,
 }
 
-impl CarryTask {
-    /// A move that `task` carries out.
-    pub(super) fn new(task: JoinHandle<Carried>, source: Rc<Upstream>, unused: Unused) -> Self {
+impl MoveTask {
+    pub(super) fn new(
+        task: JoinHandle<MoveOutcome>,
+        source: Rc<Upstream>,
+        unused_copy: UnusedCopy,
+    ) -> Self {
         Self {
             task,
             source,
-            unused,
+            unused_copy,
         }
     }
 
-    /// Waits for the outcome; may be called again if it was not waited out.
-    pub(crate) async fn finished(&mut self) -> Carried {
-        // A task that panicked has moved nothing that could be used.
-        (&mut self.task).await.unwrap_or(Carried::NotMoved)
+    /// Waits for the outcome. Cancel-safe: may be called again if the future was dropped.
+    pub(crate) async fn finished(&mut self) -> MoveOutcome {
+        // A task that panicked has produced no usable copy.
+        (&mut self.task).await.unwrap_or(MoveOutcome::NotMoved)
     }
 
     /// Waits for the outcome.
-    pub(crate) async fn outcome(mut self) -> Carried {
+    pub(crate) async fn outcome(mut self) -> MoveOutcome {
         self.finished().await
     }
 
-    /// The generation ended by itself: a copy would only take room.
+    /// Discards the copy of a generation that ended by itself, to free its room at the target.
     pub(crate) fn discard(self, front: &Rc<Front>) {
-        let handle = self.unused.borrow_mut().take();
+        let handle = self.unused_copy.borrow_mut().take();
         if let Some(handle) = handle {
             let (front, source) = (Rc::clone(front), Rc::clone(&self.source));
             actix_rt::spawn(async move {
-                let discarded = front.engines.discard(source.addr, &handle, DISCARD).await;
+                let discarded = front
+                    .engines
+                    .discard(source.addr, &handle, DISCARD_TIMEOUT)
+                    .await;
                 if let Err(e) = discarded {
                     log::debug!("{e}");
                 }
@@ -78,7 +84,7 @@
     }
 }
 
-impl Drop for CarryTask {
+impl Drop for MoveTask {
     fn drop(&mut self) {
         self.task.abort();
     }
