--- a/trouttrack_front/tests/front/moves.rs
+++ b/trouttrack_front/tests/front/moves.rs
@@ -25,7 +25,7 @@
 ) -> (Reply, [&Upstream; 2]) {
     let (req, addr) = (long("r1", "draft"), bed.addr());
     let answer = actix_rt::spawn(async move { req.send(addr).await });
-    until("an engine works", || bed.working().is_some()).await;
+    until("an engine has the request", || bed.working().is_some()).await;
     let left = bed.working().expect("an engine has the request");
     let other = bed
         .upstreams
@@ -73,7 +73,7 @@
     let bed = bed().await;
     let (req, addr) = (plain("r1", "draft").post("x").tokens(100, 20), bed.addr());
     let answer = actix_rt::spawn(async move { req.send(addr).await });
-    until("an engine works", || bed.working().is_some()).await;
+    until("an engine has the request", || bed.working().is_some()).await;
     let left = bed.working().expect("an engine has the request");
     bed.store.put_upstream(left, true);
     let reply = answer.await.expect("an answer");
@@ -175,7 +175,7 @@
     // The other engine has no generations left.
     assert_eq!(other.working_on(), 0);
     bed.store.put_upstream(other, true);
-    until("its leaving is known", || {
+    until("the departure is known", || {
         let upstream = bed.front.front.upstreams.get(&other.id);
         upstream.is_some_and(|u| u.is_leaving())
     })
@@ -201,7 +201,7 @@
     let req = long("r1", "draft").patience(Duration::from_secs(20));
     let addr = bed.addr();
     let answer = actix_rt::spawn(async move { req.send(addr).await });
-    until("an engine works", || bed.working().is_some()).await;
+    until("an engine has the request", || bed.working().is_some()).await;
     let left = bed.working().expect("an engine has the request");
     bed.store.set_fault(StoreFault::Refuse);
     left.say_leaving();
--- a/trouttrack_front/tests/front/plain.rs
+++ b/trouttrack_front/tests/front/plain.rs
@@ -186,7 +186,7 @@
     let req: CallerRequest = plain("r1", "once").key(KEY);
     let addr = bed.addr();
     let waiting = actix_rt::spawn(async move { req.send(addr).await });
-    crate::support::until("an upstream works", || bed.working().is_some()).await;
+    crate::support::until("an upstream has the request", || bed.working().is_some()).await;
     waiting.abort();
     crate::support::until("the work is cancelled", || bed.working().is_none()).await;
     assert_eq!(bed.front.front.lifecycle.in_flight(), 0);
--- a/trouttrack_front/tests/front/repeats.rs
+++ b/trouttrack_front/tests/front/repeats.rs
@@ -11,7 +11,7 @@
 use trouttrack_platform_standin::{Behaviour, CallerRequest, Reply, Store, Upstream};
 
 /// Body of the request that makes an upstream exit.
-const FATAL: &str = "what ends an upstream";
+const FATAL_BODY: &str = "fatal body";
 /// Upstreams that may exit before the request is refused by all VMs.
 const MAX_EXITS: usize = 3;
 /// Exits caused by permitted retries after that, over all VMs.
@@ -35,8 +35,8 @@
         Self::with_port_linger(service, Duration::ZERO).await
     }
 
-    /// Upstreams whose ports stay open for `lingers` after their connections close.
-    async fn with_port_linger(service: &str, lingers: Duration) -> Self {
+    /// Upstreams whose ports stay open for `port_linger` after their connections close.
+    async fn with_port_linger(service: &str, port_linger: Duration) -> Self {
         let bed = Bed::new(service).await;
         let other = start(&settings(&bed.store, "front-2", "")).await;
         let other = other.expect("a front");
@@ -45,8 +45,8 @@
             upstreams.push(Upstream::start(&format!("more-{n}"), service, "a").await);
         }
         for upstream in &upstreams {
-            upstream.ends_under(FATAL);
-            upstream.lingers(lingers);
+            upstream.ends_under(FATAL_BODY);
+            upstream.lingers(port_linger);
             upstream.always(match service {
                 ENGINES => Behaviour::Stream(4),
                 _ => Behaviour::Whole,
@@ -65,9 +65,9 @@
     async fn wait_until_ready(&self) {
         for front in self.fronts() {
             let front = &front.front;
-            until("it is ready", || front.lifecycle.is_ready()).await;
+            until("the VM is ready", || front.lifecycle.is_ready()).await;
             until("keys are confirmed", || front.routing.is_fresh()).await;
-            until("it knows the other", || !front.peers.others().is_empty()).await;
+            until("it knows the other VM", || !front.peers.others().is_empty()).await;
             until("it knows the upstreams", || {
                 let known = |u: &Upstream| front.upstreams.get(&u.id).is_some();
                 self.upstreams.iter().all(known)
@@ -114,11 +114,11 @@
 }
 
 fn fatal_request(id: &str, route: &str) -> CallerRequest {
-    plain(id, route).post(FATAL).tokens(100, 8)
+    plain(id, route).post(FATAL_BODY).tokens(100, 8)
 }
 
 fn harmless_request(id: &str, route: &str) -> CallerRequest {
-    plain(id, route).post("what is served").tokens(100, 8)
+    plain(id, route).post("harmless body").tokens(100, 8)
 }
 
 async fn check_quarantined(service: &str, route: &str) {
@@ -155,18 +155,24 @@
 async fn quarantine_survives_the_loss_of_all_vms() {
     let fleet = FatalRequestBed::new(ENGINES).await;
     fleet.send_repeatedly("resume").await;
-    until("the store has it", || !fleet.bed.store.holds().is_empty()).await;
+    until("the store has the quarantine entry", || {
+        !fleet.bed.store.holds().is_empty()
+    })
+    .await;
     let store = Store::start().await;
     store.put_config(&config(1));
     store.inherit_holds(&fleet.bed.store);
     let upstream = Upstream::start("u1", ENGINES, "a").await;
-    upstream.ends_under(FATAL);
+    upstream.ends_under(FATAL_BODY);
     store.put_upstream(&upstream, false);
     let restarted = start(&settings(&store, "front-1", "")).await;
     let restarted = restarted.expect("a front");
-    until("it is ready", || restarted.front.lifecycle.is_ready()).await;
+    until("the VM is ready", || restarted.front.lifecycle.is_ready()).await;
     until("keys are confirmed", || restarted.front.routing.is_fresh()).await;
-    until("it has read it", || restarted.front.suspects.held() > 0).await;
+    until("the quarantine entry is read", || {
+        restarted.front.suspects.held() > 0
+    })
+    .await;
     let reply = fatal_request("alone", "resume")
         .send(restarted.callers)
         .await;
@@ -186,7 +192,7 @@
     let fleet = FatalRequestBed::with_port_linger(ENGINES, Duration::from_millis(30)).await;
     let replies = fleet.send_to_each_vm("resume", "first").await;
     assert!(replies.iter().all(|reply| reply.status == 502));
-    until("it is held", || {
+    until("both VMs quarantine the request", || {
         let held = |f: &&Running| f.front.suspects.held() > 0;
         fleet.fronts().iter().all(held)
     })
--- a/trouttrack_front/tests/front/streams.rs
+++ b/trouttrack_front/tests/front/streams.rs
@@ -117,7 +117,7 @@
     }
     let (req, addr) = (long("r1", "draft"), bed.addr());
     let waiting = actix_rt::spawn(async move { req.send(addr).await });
-    until("an upstream works", || bed.working().is_some()).await;
+    until("an upstream has the request", || bed.working().is_some()).await;
     waiting.abort();
     until("the work is cancelled", || bed.working().is_none()).await;
     until("nothing is in flight", || {
@@ -149,7 +149,7 @@
     }
     let (req, addr) = (plain("r1", "resume").post("x").tokens(100, 8), bed.addr());
     let answer = actix_rt::spawn(async move { req.send(addr).await });
-    until("an engine works", || bed.working().is_some()).await;
+    until("an engine has the request", || bed.working().is_some()).await;
     let silent_id = bed.working().expect("an engine has the request").id.clone();
     let unreachable = bed
         .upstreams
@@ -182,7 +182,7 @@
     }
     let (req, addr) = (long("r1", "draft"), bed.addr());
     let answer = actix_rt::spawn(async move { req.send(addr).await });
-    until("its prompt is loaded while it runs", || {
+    until("the prompt is loaded while the generation runs", || {
         let uses = bed.front.front.scheduler.own_uses();
         uses.iter().any(|u| u.running == 1 && u.loading_tokens == 0)
     })
