--- a/trouttrack_front/src/rescue/generation_move.rs
+++ b/trouttrack_front/src/rescue/generation_move.rs
@@ -186,11 +186,9 @@
             let answer = self
                 .send_copy_command(target, false, self.time_left(departure))
                 .await;
-            let elapsed = self.front.clock.now().saturating_sub(started_at);
+            let took = self.front.clock.now().saturating_sub(started_at);
             match answer {
-                CopyResult::Answered(MoveAnswer::Copied { .. }) if elapsed < IDLE_LINK_COPY => {
-                    return;
-                }
+                CopyResult::Answered(MoveAnswer::Copied { .. }) if took < IDLE_LINK_COPY => return,
                 CopyResult::Answered(MoveAnswer::Copied { .. }) => {}
                 // The next step reports the failure.
                 _ => return,
