--- a/trouttrack_front/src/follow/calls.rs
+++ b/trouttrack_front/src/follow/calls.rs
@@ -37,7 +37,7 @@
     match watched {
         Watched::Changes { changes, revision } => {
             let any = !changes.is_empty();
-            follower.changed(changes, revision);
+            follower.apply_changes(changes, revision);
             Ok(if any {
                 WatchOutcome::Changes
             } else {
@@ -51,7 +51,7 @@
                 epoch = since.epoch,
                 since = since.number,
             );
-            follower.history_gone();
+            follower.handle_history_gone();
             Ok(WatchOutcome::HistoryGone)
         }
     }
@@ -85,7 +85,7 @@
         }
         objects.extend(page.objects);
         if ended {
-            follower.listed(&objects, oldest);
+            follower.apply_list(&objects, oldest);
             return Ok(());
         }
     }
--- a/trouttrack_front/src/follow/config.rs
+++ b/trouttrack_front/src/follow/config.rs
@@ -94,21 +94,21 @@
         ask_for_config(&self.front);
     }
 
-    fn listed(&self, objects: &[Object], revision: Revision) {
+    fn apply_list(&self, objects: &[Object], revision: Revision) {
         for object in objects {
             apply_object(&self.front, object);
         }
         self.known_revision.set(Some(revision));
     }
 
-    fn changed(&self, changes: Vec<Change>, revision: Revision) {
+    fn apply_changes(&self, changes: Vec<Change>, revision: Revision) {
         for change in changes.iter().filter(|c| !c.deleted) {
             apply_object(&self.front, &change.object);
         }
         self.known_revision.set(Some(revision));
     }
 
-    fn history_gone(&self) {
+    fn handle_history_gone(&self) {
         self.known_revision.set(None);
     }
 }
--- a/trouttrack_front/src/follow/evacuations.rs
+++ b/trouttrack_front/src/follow/evacuations.rs
@@ -56,7 +56,7 @@
         known.then(|| self.front.evacuations.borrow().revision())
     }
 
-    fn watch_for(&self) -> Option<Duration> {
+    fn watch_timeout(&self) -> Option<Duration> {
         Some(self.front.evacuation_watch)
     }
 
@@ -66,7 +66,7 @@
 
     fn ask_peers(&self) {}
 
-    fn listed(&self, objects: &[Object], revision: Revision) {
+    fn apply_list(&self, objects: &[Object], revision: Revision) {
         let domains = objects.iter().map(|o| o.name.clone());
         take_evacuations(
             &self.front,
@@ -76,7 +76,7 @@
         self.needs_list.set(false);
     }
 
-    fn changed(&self, changes: Vec<Change>, revision: Revision) {
+    fn apply_changes(&self, changes: Vec<Change>, revision: Revision) {
         let mut next = self.front.evacuations.borrow().clone();
         for change in changes {
             next.change(&change.object.name, !change.deleted);
@@ -85,7 +85,7 @@
         take_evacuations(&self.front, &next, Told::ByStore);
     }
 
-    fn history_gone(&self) {
+    fn handle_history_gone(&self) {
         self.needs_list.set(true);
     }
 }
--- a/trouttrack_front/src/follow/follower.rs
+++ b/trouttrack_front/src/follow/follower.rs
@@ -18,7 +18,7 @@
 
     /// The watch timeout, if it differs from the default. A watch can stop delivering without an
     /// error, so a kind whose changes have a short bound needs a shorter timeout.
-    fn watch_for(&self) -> Option<Duration> {
+    fn watch_timeout(&self) -> Option<Duration> {
         None
     }
 
@@ -49,11 +49,11 @@
     async fn fetch_from_peers_after_failure(&self) {}
 
     /// Applies a full list as of a revision.
-    fn listed(&self, objects: &[Object], revision: Revision);
+    fn apply_list(&self, objects: &[Object], revision: Revision);
 
     /// Applies changes up to a revision.
-    fn changed(&self, changes: Vec<Change>, revision: Revision);
+    fn apply_changes(&self, changes: Vec<Change>, revision: Revision);
 
     /// Handles that the store has no history after the known revision.
-    fn history_gone(&self);
+    fn handle_history_gone(&self);
 }
--- a/trouttrack_front/src/follow/holds.rs
+++ b/trouttrack_front/src/follow/holds.rs
@@ -57,7 +57,7 @@
 async fn write(front: Rc<Front>, request: Fingerprint) {
     let mut backoff = Backoff::new();
     while let Err(e) = write_once(&front, request).await {
-        log::debug!("{e}");
+        log::debug!("cannot update a hold in the store: {e}");
         backoff.pause().await;
     }
 }
--- a/trouttrack_front/src/follow/kind.rs
+++ b/trouttrack_front/src/follow/kind.rs
@@ -56,7 +56,7 @@
                 }
             }
             Err(e) => {
-                log::debug!("{e}");
+                log::debug!("cannot update {} from the store: {e}", F::KIND.as_str());
                 follower.fetch_from_peers_after_failure().await;
                 backoff.pause().await;
             }
@@ -107,13 +107,13 @@
 ) -> Result<StepOutcome, StoreError> {
     if front.store.epoch().is_some_and(|epoch| epoch > since.epoch) {
         // The revision predates a restore of the store, which has no history after it.
-        follower.history_gone();
+        follower.handle_history_gone();
         return Ok(StepOutcome::Restarted);
     }
-    let wait = follower.watch_for().unwrap_or(WATCH_TIMEOUT);
+    let wait = follower.watch_timeout().unwrap_or(WATCH_TIMEOUT);
     let outcome = tokio::select! {
         watched = watch(front, follower, since, wait) => watched?,
-        () = missed(front, follower) => {
+        () = wait_until_missed(front, follower) => {
             watch(front, follower, since, IMMEDIATE_WATCH_TIMEOUT).await?
         }
     };
@@ -128,7 +128,7 @@
 /// If peers no longer have all missed changes in their history, the full list is fetched from a
 /// peer; otherwise rebuilding all rows would cost more than a call for a few changes.
 async fn catch_up<F: Follower>(front: &Front, follower: &F) -> Result<StepOutcome, StoreError> {
-    let missed = missed(front, follower);
+    let missed = wait_until_missed(front, follower);
     tokio::pin!(missed);
     loop {
         tokio::select! {
@@ -153,7 +153,7 @@
 }
 
 /// Waits until changes were missed that peers do not deliver.
-async fn missed<F: Follower>(front: &Front, follower: &F) {
+async fn wait_until_missed<F: Follower>(front: &Front, follower: &F) {
     loop {
         front.peers.behind().await;
         if still_missed(follower).await {
--- a/trouttrack_front/src/follow/upstreams.rs
+++ b/trouttrack_front/src/follow/upstreams.rs
@@ -90,7 +90,7 @@
         }
     }
 
-    fn listed(&self, objects: &[Object], revision: Revision) {
+    fn apply_list(&self, objects: &[Object], revision: Revision) {
         let read = objects.iter().map(|o| UpstreamEntry::decode(o.spec.get()));
         let read: Vec<DecodedEntry> = read.collect();
         // If any entry has a start time, all entries must have one, so this runs before the
@@ -100,27 +100,27 @@
             let change = EntryChange {
                 id: object.name.clone(),
                 revision: object.revision,
-                entry: state(&self.front, object, read),
+                entry: validate(&self.front, object, read),
             };
             apply_change(&self.front, &change);
         }
         let ids = objects.iter().map(|o| o.name.as_str()).collect();
-        apply_list(&self.front, &ids, revision, "store");
+        complete_list(&self.front, &ids, revision, "store");
         self.needs_list.set(false);
     }
 
-    fn changed(&self, changes: Vec<Change>, revision: Revision) {
+    fn apply_changes(&self, changes: Vec<Change>, revision: Revision) {
         let from = self.front.upstreams.revision();
         let changes = changes.into_iter().map(|c| entry_change(&self.front, c));
         let changes: Vec<EntryChange> = changes.collect();
-        apply(&self.front, &changes);
+        apply_all(&self.front, &changes);
         self.front.upstreams.advance(revision);
         if revision > from {
             self.publish(from, revision, changes);
         }
     }
 
-    fn history_gone(&self) {
+    fn handle_history_gone(&self) {
         self.needs_list.set(true);
     }
 }
@@ -143,12 +143,12 @@
         }
     }
     let ids = told.iter().map(|one| one.id.as_str()).collect();
-    apply_list(front, &ids, snapshot.revision(), &peer.to_string());
+    complete_list(front, &ids, snapshot.revision(), &peer.to_string());
 }
 
 /// Completes a full list: removes upstreams that are not in `ids` and advances to `revision`.
 /// Announces at once to the other VMs that this VM has the list.
-fn apply_list(front: &Rc<Front>, ids: &HashSet<&str>, revision: Revision, told_by: &str) {
+fn complete_list(front: &Rc<Front>, ids: &HashSet<&str>, revision: Revision, told_by: &str) {
     for gone in front.upstreams.listed(ids, revision) {
         start_departure(front, &gone);
     }
@@ -160,7 +160,7 @@
         revision = revision.number,
         told_by = told_by,
     );
-    configure(front);
+    rebuild_rows(front);
     front.peers.announce();
 }
 
@@ -168,7 +168,7 @@
 fn entry_change(front: &Front, change: Change) -> EntryChange {
     let entry = match change.deleted {
         true => EntryState::Gone,
-        false => decoded(front, &change.object),
+        false => decode(front, &change.object),
     };
     EntryChange {
         id: change.object.name,
@@ -181,10 +181,10 @@
 type DecodedEntry = Result<UpstreamEntry, EntryError>;
 
 /// Decodes and validates an entry.
-fn decoded(front: &Front, object: &Object) -> EntryState {
+fn decode(front: &Front, object: &Object) -> EntryState {
     let read = UpstreamEntry::decode(object.spec.get());
     record_start_time(front, &read);
-    state(front, object, read)
+    validate(front, object, read)
 }
 
 /// Records that this deployment's upstreams publish their start times.
@@ -196,21 +196,21 @@
 
 /// Validates an existing entry. Where upstreams publish their start times, an entry without one
 /// is unreadable.
-fn state(front: &Front, object: &Object, read: DecodedEntry) -> EntryState {
+fn validate(front: &Front, object: &Object, read: DecodedEntry) -> EntryState {
     let entry = read.and_then(|entry| match front.upstreams.say_births() {
         true => entry.with_birth(),
         false => Ok(entry),
     });
     entry.map_or_else(
         |e| {
-            unreadable(front, object, e);
+            record_unreadable(front, object, e);
             EntryState::Unreadable
         },
         EntryState::Listed,
     )
 }
 
-fn unreadable(front: &Front, object: &Object, e: EntryError) {
+fn record_unreadable(front: &Front, object: &Object, e: EntryError) {
     record!(
         events::ENTRY_UNREADABLE,
         upstream = object.name.as_str(),
@@ -251,7 +251,7 @@
         .filter(|c| c.revision > known)
         .cloned()
         .collect();
-    apply(front, &new);
+    apply_all(front, &new);
     front.upstreams.advance(news.to);
     front.history.borrow_mut().learned(News {
         from: known,
@@ -262,7 +262,7 @@
 }
 
 /// Applies changes in order, then lets the scheduler place waiting requests.
-fn apply(front: &Rc<Front>, changes: &[EntryChange]) {
+fn apply_all(front: &Rc<Front>, changes: &[EntryChange]) {
     for change in changes {
         apply_change(front, change);
         if matches!(change.entry, EntryState::Listed(_)) {
@@ -360,7 +360,7 @@
         return;
     };
     if !front.upstreams.has_rows_for(&table.config().services) {
-        configure(front);
+        rebuild_rows(front);
         return;
     }
     front.divide();
@@ -369,7 +369,7 @@
 
 /// Rebuilds all rows of the decision tables, and marks the VM ready once the upstreams are
 /// listed.
-fn configure(front: &Front) {
+fn rebuild_rows(front: &Front) {
     let Some(table) = front.routing.table() else {
         return;
     };
--- a/trouttrack_front/src/follow/vms.rs
+++ b/trouttrack_front/src/follow/vms.rs
@@ -49,7 +49,7 @@
             .put(Kind::Vms, &front.name, &entry, CALL_TIMEOUT)
             .await
         {
-            log::debug!("{e}");
+            log::debug!("cannot write this VM's entry: {e}");
             backoff.pause().await;
         }
         front.store_contact.restored_after(epoch).await;
@@ -79,7 +79,7 @@
             tokio::time::sleep(list_interval(front.peers.listed()).mul_f64(part)).await;
         }
         Ok(()) => {}
-        Err(e) => log::debug!("{e}"),
+        Err(e) => log::debug!("cannot list the VMs: {e}"),
     }
     tokio::time::sleep(STARTUP_DELAY).await;
     // VMs that started at the same time have just written their entries; a list that lags
@@ -94,7 +94,7 @@
                 tokio::time::sleep(list_interval(front.peers.listed())).await;
             }
             Err(e) => {
-                log::debug!("{e}");
+                log::debug!("cannot list the VMs: {e}");
                 backoff.pause().await;
             }
         }
