--- a/trouttrack_front/src/peers/catch_up.rs
+++ b/trouttrack_front/src/peers/catch_up.rs
@@ -1,11 +1,11 @@
-//! Changes of upstreams' entries that were missed, asked of a VM that knows them.
+//! Requests missed changes of upstream entries from a peer that has them.
 
 use super::message::Datagram;
 use super::post::post;
 use crate::state::Front;
 
-/// Asks a peer for what changed since this VM's revision. One of the own failure domain
-/// is asked if it can be.
+/// Asks a peer for the changes since this VM's revision, preferring a peer of the same
+/// failure domain.
 pub(crate) fn ask_for_news(front: &Front) {
     let Some(socket) = front.peers.socket() else {
         return;
--- a/trouttrack_front/src/peers/config.rs
+++ b/trouttrack_front/src/peers/config.rs
@@ -1,9 +1,9 @@
-//! Configurations passed from VM to VM.
+//! Exchange of configurations between VMs.
 //!
-//! A VM that hears of a newer configuration asks the one that has it, and the store
-//! only if no answer comes: otherwise each change costs a call for every VM. At 66 VMs
-//! and some dozen changes a day that was a third of all calls; without it the calls
-//! cost 0.0037 of the worth more.
+//! A VM that learns of a newer configuration requests it from the peer that has it, and
+//! from the store only if no reply arrives. Otherwise each change costs one store call per
+//! VM: at 66 VMs and some dozen changes a day that was a third of all calls, and raised
+//! their cost by 0.0037 of the worth.
 
 use super::message::{Datagram, ToldConfig};
 use super::post::post;
@@ -17,40 +17,41 @@
 use tokio::net::UdpSocket;
 use trouttrack_core::{ConfigVersion, Time};
 
-/// The largest configuration that is passed on in a datagram. A larger one is fetched.
-const MOST_BYTES: usize = 40_000;
-/// Pause between two requests: an answer is there before, or was lost.
-const ASK_AGAIN: Duration = Duration::from_millis(100);
-/// Pause between two answers. All VMs may ask the first one that has a change, and
-/// the slowest links carry 10 Mbit/s: ten kilobytes in 8 ms.
-const ANSWER_AGAIN: Duration = Duration::from_millis(10);
+/// Largest configuration sent in a datagram. Larger ones are fetched over HTTP.
+const MAX_DATAGRAM_CONFIG_BYTES: usize = 40_000;
+/// Minimum interval between requests. A reply that has not arrived by then was lost.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum interval between replies. All VMs may ask the first one that has a change, and
+/// the slowest links, 10 Mbit/s, take 8 ms for ten kilobytes.
+const REPLY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Passes configurations over one socket.
+/// Rate limits and state of the configuration exchange over one socket.
 #[derive(Debug, Default)]
 pub(super) struct ConfigExchange {
-    asked_at: Cell<Option<Time>>,
-    answered_at: Cell<Option<Time>>,
-    /// Whether a configuration is on its way here.
+    requested_at: Cell<Option<Time>>,
+    replied_at: Cell<Option<Time>>,
+    /// Whether a fetch is in progress.
     fetching: Rc<Cell<bool>>,
 }
 
 impl ConfigExchange {
-    /// Asks a VM that has a newer configuration.
+    /// Requests the configuration from a peer that has a newer one.
     pub(super) fn ask(&self, front: &Front, socket: &UdpSocket, peer: SocketAddr) {
-        if may_again(front, &self.asked_at, ASK_AGAIN) {
+        if interval_elapsed(front, &self.requested_at, REQUEST_INTERVAL) {
             post(socket, &Datagram::ConfigWanted, peer);
         }
     }
 
-    /// Answers a VM that asks. What is too large for a datagram, or was just sent to another
-    /// VM, may be fetched: nearly all of a failure domain ask at one moment, and each that
-    /// got no answer asked again after a quarter of a second.
+    /// Replies to a request for the configuration. If it is too large for a datagram, or was
+    /// just sent to another VM, the reply offers it for fetching instead: nearly all VMs of a
+    /// failure domain ask at the same moment, and each one left without a reply asked again
+    /// after a quarter of a second.
     pub(super) fn answer(&self, front: &Front, socket: &UdpSocket, peer: SocketAddr) {
         let Some(spec) = front.routing.spec() else {
             return;
         };
-        let fits = spec.len() <= MOST_BYTES;
-        let answer = match fits && may_again(front, &self.answered_at, ANSWER_AGAIN) {
+        let fits = spec.len() <= MAX_DATAGRAM_CONFIG_BYTES;
+        let answer = match fits && interval_elapsed(front, &self.replied_at, REPLY_INTERVAL) {
             true => Datagram::Config(ToldConfig {
                 revision: front.routing.revision(),
                 spec: spec.as_ref().into(),
@@ -60,7 +61,7 @@
         post(socket, &answer, peer);
     }
 
-    /// Fetches a configuration that a VM has, unless another one is being fetched.
+    /// Fetches a newer configuration from a peer, unless a fetch is already in progress.
     pub(super) fn fetch(&self, front: &Rc<Front>, peer: SocketAddr, version: ConfigVersion) {
         if version <= front.routing.version() || self.fetching.replace(true) {
             return;
@@ -77,7 +78,8 @@
     }
 }
 
-/// Asks a VM that has a newer configuration, once more.
+/// Repeats the request for the configuration to a random peer that has a newer one, without
+/// regard to the minimum interval.
 pub(crate) fn ask_for_config(front: &Front) {
     let Some(socket) = front.peers.socket() else {
         return;
@@ -89,17 +91,17 @@
     }
 }
 
-/// Takes in a configuration that another VM has in force.
+/// Applies a configuration received from a peer.
 pub(super) fn take(front: &Rc<Front>, told: &ToldConfig) {
     follow::take_config(front, told.revision, &told.spec);
 }
 
-/// Whether a pause has passed since a time, which is then set to now.
-fn may_again(front: &Front, last: &Cell<Option<Time>>, pause: Duration) -> bool {
+/// Returns whether `interval` has passed since `last`, and if so sets `last` to now.
+fn interval_elapsed(front: &Front, last: &Cell<Option<Time>>, interval: Duration) -> bool {
     let now = front.clock.now();
-    let again = last.get().is_none_or(|at| now >= at + pause);
-    if again {
+    let elapsed = last.get().is_none_or(|at| now >= at + interval);
+    if elapsed {
         last.set(Some(now));
     }
-    again
+    elapsed
 }
--- a/trouttrack_front/src/peers/post.rs
+++ b/trouttrack_front/src/peers/post.rs
@@ -1,15 +1,15 @@
-//! Sending one datagram.
+//! Sending datagrams to peers.
 
 use super::message::{Datagram, encode};
 use std::net::SocketAddr;
 use tokio::net::UdpSocket;
 
-/// Sends a datagram; one that cannot be sent is as good as lost on the way.
+/// Sends a datagram to a peer. A failure to send is treated like a datagram lost in transit.
 pub(super) fn post(socket: &UdpSocket, datagram: &Datagram, to: SocketAddr) {
     post_to_all(socket, datagram, [to]);
 }
 
-/// Sends a datagram to several VMs.
+/// Sends a datagram to several peers, encoding it once.
 pub(super) fn post_to_all(
     socket: &UdpSocket,
     datagram: &Datagram,
@@ -20,7 +20,7 @@
     };
     for addr in to {
         if let Err(e) = socket.try_send_to(&bytes, addr) {
-            log::debug!("datagram to {addr}: {e}");
+            log::debug!("sending a datagram to peer {addr} failed: {e}");
         }
     }
 }
--- a/trouttrack_front/src/peers/transfer/fetch.rs
+++ b/trouttrack_front/src/peers/transfer/fetch.rs
@@ -1,4 +1,4 @@
-//! Asking another VM for the upstreams or the configuration.
+//! Client that fetches the upstreams or the configuration from another VM.
 
 use super::snapshot::Snapshot;
 use crate::peers::message::ToldConfig;
@@ -12,14 +12,13 @@
 use trouttrack_core::membership::Revision;
 use trouttrack_http::Reuse;
 
-/// How long an answer may take: several times that of a megabyte over the slowest links,
-/// 10 Mbit/s.
-const WITHIN: Duration = Duration::from_secs(4);
-/// The largest answer taken: ten times that of 20,000 upstreams.
-const MOST_BYTES: usize = 10 << 20;
+/// Timeout of a fetch: several times what a megabyte takes on the slowest links, 10 Mbit/s.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(4);
+/// Limit on the size of a response body: ten times the size for 20,000 upstreams.
+const MAX_BODY_BYTES: usize = 10 << 20;
 
-/// The upstreams as another VM knows them, if that is newer than a revision and the VM is
-/// not busy with others.
+/// Fetches the upstreams known to a peer. Returns `None` if the peer has nothing newer than
+/// `known`, is busy with other transfers, or the request fails.
 pub(crate) async fn fetch_upstreams(
     front: &Front,
     peer: SocketAddr,
@@ -28,7 +27,8 @@
     fetch(front, peer, &format!("/upstreams/{known}")).await
 }
 
-/// The configuration that another VM has in force, on the same terms.
+/// Fetches the configuration in force at a peer. Returns `None` if the peer has nothing newer
+/// than `known`, is busy with other transfers, or the request fails.
 pub(crate) async fn fetch_config(
     front: &Front,
     peer: SocketAddr,
@@ -38,10 +38,10 @@
 }
 
 async fn fetch<T: DeserializeOwned>(front: &Front, peer: SocketAddr, path: &str) -> Option<T> {
-    let fetched = tokio::time::timeout(WITHIN, get(front, peer, path)).await;
+    let fetched = tokio::time::timeout(FETCH_TIMEOUT, get(front, peer, path)).await;
     let bytes = fetched.ok().flatten()?;
     postcard::from_bytes(&bytes)
-        .inspect_err(|e| log::debug!("{peer}{path}: {e}"))
+        .inspect_err(|e| log::debug!("fetching {path} from peer {peer} failed: {e}"))
         .ok()
 }
 
@@ -52,13 +52,15 @@
         .header(header::CONNECTION, "close")
         .body(Bytes::new())
         .ok()?;
-    let answer = front.to_peers.send(peer, req, Reuse::Never).await;
-    let mut answer = answer.inspect_err(|e| log::debug!("{path}: {e}")).ok()?;
-    if answer.head.status != StatusCode::OK {
+    let response = front.to_peers.send(peer, req, Reuse::Never).await;
+    let mut response = response
+        .inspect_err(|e| log::debug!("fetching {path} from peer {peer} failed: {e}"))
+        .ok()?;
+    if response.head.status != StatusCode::OK {
         return None;
     }
-    let body = answer.body.whole(MOST_BYTES).await;
-    body.inspect_err(|e| log::debug!("{peer}{path}: {e}"))
+    let body = response.body.whole(MAX_BODY_BYTES).await;
+    body.inspect_err(|e| log::debug!("fetching {path} from peer {peer} failed: {e}"))
         .ok()
         .flatten()
 }
