--- a/trouttrack_front/src/peers/confirm.rs
+++ b/trouttrack_front/src/peers/confirm.rs
@@ -1,10 +1,11 @@
-//! Confirmations of the configuration, passed from VM to VM.
+//! Exchange of configuration confirmations between VMs.
 //!
-//! A removed key must be refused within a bound, so every VM needs a confirmation that is
-//! some seconds old at most, and each call to the store is paid for. Heartbeats bring them
-//! in a small fleet. In a large one a VM's own heartbeats reach its watcher seldom, and
-//! what is said in answer to an old one is worth little: at 985 VMs it would be 32 s old.
-//! So a VM asks for the confirmation that it needs, and knows when it asked.
+//! A removed key must be refused within a bound, so every VM needs a confirmation that is at
+//! most some seconds old, while each call to the store is paid for. In a small fleet
+//! heartbeats carry the confirmations. In a large one a VM's heartbeats rarely reach its
+//! watcher, and a confirmation can be dated no later than the heartbeat that it echoes: at
+//! 985 VMs it would be 32 s old. A VM therefore requests the confirmation that it needs, and
+//! dates it by the time of the request.
 
 use super::message::{Confirmation, Datagram, Echo, Heartbeat};
 use super::post::post;
@@ -18,62 +19,63 @@
 use trouttrack_core::ConfigVersion;
 use trouttrack_core::membership::{CONFIRMATION_ASKED_AGAIN, CONFIRMED_BY_PEER};
 
-/// The longest pause: while the store is away nobody has a newer confirmation.
-const ASK_AT_LEAST: Duration = Duration::from_millis(800);
-/// The longest pause between two looks at the age: bounds may be lowered by a reload.
-const LOOK_AT_LEAST: Duration = Duration::from_millis(500);
-/// The shortest one.
-const LOOK: Duration = Duration::from_millis(20);
+/// Longest interval between requests: while the store is unreachable, no peer has a newer
+/// confirmation.
+const MAX_REQUEST_INTERVAL: Duration = Duration::from_millis(800);
+/// Longest interval between checks of the age: a reload may lower the bounds.
+const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Shortest interval between checks of the age.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Asks peers when the own confirmation grows old: the watcher, and each second time a VM
-/// of another failure domain, for the own watcher may be
-/// gone. Goes on for as long as the process runs.
+/// Requests a confirmation from peers when this VM's own grows old. Requests alternate between
+/// the watcher and a VM of another failure domain, as the watcher may be gone. Runs until the
+/// process ends.
 pub(crate) async fn keep_confirmed(front: Rc<Front>, socket: Rc<UdpSocket>) {
-    let mut pause = CONFIRMATION_ASKED_AGAIN;
-    let mut of_watcher = true;
+    let mut interval = CONFIRMATION_ASKED_AGAIN;
+    let mut ask_watcher = true;
     loop {
         if let Some(left) = time_left(&front) {
-            pause = CONFIRMATION_ASKED_AGAIN;
-            of_watcher = true;
-            tokio::time::sleep(left.clamp(LOOK, LOOK_AT_LEAST)).await;
+            interval = CONFIRMATION_ASKED_AGAIN;
+            ask_watcher = true;
+            tokio::time::sleep(left.clamp(MIN_CHECK_INTERVAL, MAX_CHECK_INTERVAL)).await;
             continue;
         }
-        ask(&front, &socket, of_watcher);
-        of_watcher = !of_watcher;
-        tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(ASK_AT_LEAST);
+        ask(&front, &socket, ask_watcher);
+        ask_watcher = !ask_watcher;
+        tokio::time::sleep(interval).await;
+        interval = (interval * 2).min(MAX_REQUEST_INTERVAL);
     }
 }
 
-/// How long the own confirmation will do; `None` if one is to be asked for.
+/// Time until a new confirmation is due; `None` if one must be requested now.
 fn time_left(front: &Front) -> Option<Duration> {
     if !front.routing.is_known() || watches_store(front) {
-        return Some(LOOK_AT_LEAST);
+        return Some(MAX_CHECK_INTERVAL);
     }
     let due = front.routing.renewed_after().mul_f64(CONFIRMED_BY_PEER);
     let left = due.checked_sub(front.routing.age()?)?;
     (!left.is_zero()).then_some(left)
 }
 
-fn ask(front: &Front, socket: &UdpSocket, of_watcher: bool) {
-    let watcher = front.peers.watcher().filter(|_| of_watcher);
-    let Some(peer) = watcher.or_else(|| elsewhere(front)) else {
+fn ask(front: &Front, socket: &UdpSocket, ask_watcher: bool) {
+    let watcher = front.peers.watcher().filter(|_| ask_watcher);
+    let Some(peer) = watcher.or_else(|| random_confirmer(front)) else {
         return;
     };
     let number = front.peers.next(front.clock.now());
     post(socket, &Datagram::ConfirmationWanted(number), peer);
 }
 
-/// A VM that has the same configuration in force, of another failure domain if there is
-/// one.
-fn elsewhere(front: &Front) -> Option<SocketAddr> {
+/// Returns a random peer that has the same configuration in force, preferring one of another
+/// failure domain.
+fn random_confirmer(front: &Front) -> Option<SocketAddr> {
     let own = front.routing.version();
     let has_same = |h: &Heard| h.config_version == own;
     let is_far = |h: &Heard| h.failure_domain != front.failure_domain;
     front.peers.draw(has_same, is_far)
 }
 
-/// Answers a VM that asks.
+/// Replies to a request for a confirmation.
 pub(super) fn answer(front: &Front, socket: &UdpSocket, peer: SocketAddr, echo: Echo) {
     let Some(age_ms) = front.routing.age_ms() else {
         return;
@@ -86,13 +88,13 @@
     post(socket, &Datagram::Confirmation(told), peer);
 }
 
-/// Takes in an answer.
+/// Applies a confirmation received in reply to a request.
 pub(super) fn take(front: &Front, told: &Confirmation) {
     let age = Duration::from_millis(told.age_ms);
     confirmed(front, told.config_version, told.echo, age);
 }
 
-/// Takes in what a heartbeat says of its sender's configuration.
+/// Applies the confirmation that a heartbeat carries.
 pub(super) fn hear(front: &Front, heartbeat: &Heartbeat) {
     if let (Some(age_ms), Some(echo)) = (heartbeat.confirmed_ms, heartbeat.echo) {
         let age = Duration::from_millis(age_ms);
@@ -100,7 +102,8 @@
     }
 }
 
-/// A peer has had a configuration confirmed so long before it answered a datagram of ours.
+/// Records that a peer's configuration was confirmed `age` before the peer replied to this VM's
+/// datagram `echo`.
 fn confirmed(front: &Front, config_version: ConfigVersion, echo: Echo, age: Duration) {
     if config_version != front.routing.version() || !front.routing.is_known() {
         return;
--- a/trouttrack_front/src/peers/heartbeat.rs
+++ b/trouttrack_front/src/peers/heartbeat.rs
@@ -47,7 +47,7 @@
                 send_heartbeats(&front, &socket);
                 next = Instant::now() + pause(&front);
             }
-            () = front.suspects.news() => suspects::tell_news(&front, &socket),
+            () = front.suspects.news() => suspects::send_changes(&front, &socket),
             () = front.scheduler.news(), if tell_at.is_none() => {
                 tell_at = Some(Instant::now() + SOON);
             }
--- a/trouttrack_front/src/peers/suspects.rs
+++ b/trouttrack_front/src/peers/suspects.rs
@@ -1,9 +1,9 @@
-//! What VMs tell each other of requests under which upstreams ended.
+//! Exchange, between VMs, of the requests under which upstreams ended.
 //!
-//! Such a request comes back at any VM within a second, so what is new is told at once: a
-//! single end to the VMs that keep account of the request, a request that is held to all.
-//! Whoever missed it, or has just started, is noticed by the sum in its next heartbeat,
-//! and told what is held. Where no upstream has ended this costs one byte a heartbeat.
+//! Such a request is retried at any VM within a second, so changes are sent at once: a single
+//! end to the VMs that keep account of the request, a held request to all VMs. A VM that
+//! missed a change, or has just started, is detected by the checksum in its next heartbeat
+//! and sent all held requests. While no upstream has ended this costs one byte a heartbeat.
 
 use super::message::{Datagram, Heartbeat};
 use super::post::{post, post_to_all};
@@ -15,21 +15,23 @@
 use trouttrack_core::quarantine::{Suspect, keepers};
 use trouttrack_core::{Fingerprint, Time};
 
-/// Pause between two times that everything held is told: at 4 kB a time within the budget
-/// for control, also where two VMs differ for long because one has no room for all.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Minimum interval between sending all held requests. At 4 kB each this stays within the
+/// budget for control traffic even if two VMs differ for long because one has no room for
+/// all of them.
+const FULL_SYNC_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Tells what is new to those who are to hear it.
-pub(super) fn tell_news(front: &Front, socket: &UdpSocket) {
+/// Sends pending changes to the VMs that need them.
+pub(super) fn send_changes(front: &Front, socket: &UdpSocket) {
     for request in front.suspects.take_news() {
         let news = Datagram::Suspects(front.suspects.told_of(&[request]));
-        post_to_all(socket, &news, concerned(front, request));
+        post_to_all(socket, &news, receivers(front, request));
     }
 }
 
-/// Who is to hear of a request: all, if it is held, and otherwise those who keep account
-/// of it. That a hold has ended early the others learn by the sums in their heartbeats.
-fn concerned(front: &Front, request: Fingerprint) -> Vec<SocketAddr> {
+/// Returns the VMs that need a change of a request: all if it is held, otherwise those that
+/// keep account of it. The others learn of a hold that ended early by the checksums in
+/// heartbeats.
+fn receivers(front: &Front, request: Fingerprint) -> Vec<SocketAddr> {
     let others = front.peers.others().into_iter();
     let all = match front.suspects.hold(request) {
         Some(_) => others.collect(),
@@ -38,7 +40,7 @@
     all.into_iter().map(|(_, addr)| addr).collect()
 }
 
-/// Takes in what a peer told, and tells it what is known better here.
+/// Merges what a peer sent, and replies with the entries of which this VM knows more.
 pub(super) fn hear(front: &Front, socket: &UdpSocket, told: &[Suspect], peer: SocketAddr) {
     let better = front.suspects.hear(told, &peer.to_string());
     if !better.is_empty() {
@@ -46,14 +48,15 @@
     }
 }
 
-/// Tells VMs that hold other requests what is held here.
+/// Sends all held requests to VMs whose held requests differ.
 #[derive(Debug, Default)]
 pub(super) struct CatchUp {
-    told_at: Cell<Option<Time>>,
+    sent_at: Cell<Option<Time>>,
 }
 
 impl CatchUp {
-    /// Tells a peer what is held if its heartbeat shows that it holds something else.
+    /// Sends all held requests to a peer if the checksum in its heartbeat differs, at most once
+    /// per interval.
     pub(super) fn tell(
         &self,
         front: &Front,
@@ -63,16 +66,16 @@
     ) {
         let now = front.clock.now();
         let recently = self
-            .told_at
+            .sent_at
             .get()
-            .is_some_and(|at| now.saturating_sub(at) < PAUSE);
+            .is_some_and(|at| now.saturating_sub(at) < FULL_SYNC_INTERVAL);
         let same = heartbeat.suspects == front.suspects.checksum();
         if recently || same || front.suspects.is_empty() {
             return;
         }
         let told = front.suspects.told();
         if !told.is_empty() {
-            self.told_at.set(Some(now));
+            self.sent_at.set(Some(now));
             post(socket, &Datagram::Suspects(told), peer);
         }
     }
