--- a/trouttrack_config/src/fleet/view.rs
+++ b/trouttrack_config/src/fleet/view.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use trouttrack_core::ConfigVersion;
 use trouttrack_core::membership::{Evacuations, Revision};
-use trouttrack_core::upstream::Spec;
+use trouttrack_core::upstream::UpstreamSpec;
 
 /// What a request's `model` and organisation resolve to.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -121,16 +121,16 @@
 
     /// The upstreams as the decision tables take them.
     #[must_use]
-    pub fn specs(&self) -> Vec<Spec> {
+    pub fn specs(&self) -> Vec<UpstreamSpec> {
         let upstreams = self.fleet.upstreams.iter();
         upstreams
-            .map(|u| Spec {
+            .map(|u| UpstreamSpec {
                 id: u.name.clone(),
                 failure_domain: u.failure_domain.clone(),
                 services: u.services.clone(),
                 capacity_tokens: u.capacity_tokens,
                 max_running: u.max_running,
-                warm_at: Duration::ZERO,
+                warm_up_ends_at: Duration::ZERO,
                 born: 0,
                 cold_rate: 0.0,
             })
--- a/trouttrack_core/benches/decision.rs
+++ b/trouttrack_core/benches/decision.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use trouttrack_core::length::LengthKey;
 use trouttrack_core::membership::UpstreamUse;
-use trouttrack_core::upstream::Spec;
+use trouttrack_core::upstream::UpstreamSpec;
 use trouttrack_core::world::{Decision, Submission, World, WorldSettings};
 
 const UPSTREAMS: [usize; 3] = [10, 100, 900];
@@ -43,14 +43,14 @@
     world
 }
 
-fn spec(i: usize) -> Spec {
-    Spec {
+fn spec(i: usize) -> UpstreamSpec {
+    UpstreamSpec {
         id: format!("e{i}"),
         failure_domain: format!("d{}", i % 8),
         services: vec!["s".into()],
         capacity_tokens: 49_152,
         max_running: 64,
-        warm_at: Duration::ZERO,
+        warm_up_ends_at: Duration::ZERO,
         born: 0,
         cold_rate: 0.0,
     }
@@ -135,7 +135,7 @@
             b.iter(|| {
                 peer = (peer + 1) % PEERS;
                 now += Duration::from_millis(1);
-                world.peer_uses(now, &format!("vm-{peer}"), "a", &uses);
+                world.record_peer_uses(now, &format!("vm-{peer}"), "a", &uses);
             });
         });
         group.bench_function(BenchmarkId::new("entry", upstreams), |b| {
--- a/trouttrack_core/src/fleet/types.rs
+++ b/trouttrack_core/src/fleet/types.rs
@@ -58,7 +58,7 @@
     pub path_prefix: String,
     /// How responses are returned.
     pub kind: RouteKind,
-    /// Maximum time for which the gateway may hold a request.
+    /// Maximum time for which a request may be held.
     pub timeout: Duration,
     /// Service level objective for the time to the response, or to the first event of a stream.
     pub objective: Duration,
--- a/trouttrack_core/src/upstream/incarnation.rs
+++ b/trouttrack_core/src/upstream/incarnation.rs
@@ -25,8 +25,8 @@
 }
 
 impl Incarnation {
-    /// Returns whether this is a later incarnation of the same upstream than `other`. An
-    /// unknown start time (0) counts as earlier than any known one.
+    /// Returns whether this is known to be a later incarnation of the same upstream than
+    /// `other`. If either start time is unknown (0), their order is unknown as well.
     #[must_use]
     pub fn is_after(&self, other: &Self) -> bool {
         self.id == other.id && other.born != 0 && self.born > other.born
--- a/trouttrack_core/src/upstream/rate_limit.rs
+++ b/trouttrack_core/src/upstream/rate_limit.rs
@@ -98,18 +98,18 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use trouttrack_core::upstream::{Incarnation, RateLimit, RateStatement, ToldLimit};
+/// use trouttrack_core::upstream::{Incarnation, RateLimit, RateStatement, ReportedLimit};
 /// let (life, now) = (Incarnation::new("u1", 7), Duration::from_secs(9));
 /// let heard = RateStatement::new(RateLimit::PerSecond(2.5), now, now);
-/// let told = ToldLimit::new(&life, &heard, now);
+/// let report = ReportedLimit::new(&life, &heard, now);
 /// // A VM that started later takes it for older than one that hears the upstream itself.
 /// let second = Duration::from_secs(1);
 /// let own = RateStatement::new(RateLimit::Unlimited, second, second);
-/// assert_eq!(told.statement(second).limit, heard.limit);
-/// assert!(own.replaces(&told.statement(second)));
+/// assert_eq!(report.statement(second).limit, heard.limit);
+/// assert!(own.replaces(&report.statement(second)));
 /// ```
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ToldLimit {
+pub struct ReportedLimit {
     /// The incarnation of the upstream.
     pub life: Incarnation,
     /// Requests per second that it accepts from all VMs together, if limited.
@@ -120,13 +120,13 @@
     pub heard_ms: u64,
 }
 
-impl ToldLimit {
+impl ReportedLimit {
     /// Creates the report of a statement at `now`.
     #[must_use]
-    pub fn new(life: &Incarnation, statement: &RateStatement, now: Time) -> Self {
+    pub fn new(incarnation: &Incarnation, statement: &RateStatement, now: Time) -> Self {
         let age = |at: Time| (TIME_OFFSET + now).saturating_sub(at).as_millis() as u64;
         Self {
-            life: life.clone(),
+            life: incarnation.clone(),
             per_second: statement.limit.per_second(),
             asked_ms: age(statement.asked_at),
             heard_ms: age(statement.heard_at),
--- a/trouttrack_core/src/upstream/refusals.rs
+++ b/trouttrack_core/src/upstream/refusals.rs
@@ -4,7 +4,7 @@
 //! counted as success, no failures: the router would prefer it to all others. Instead it gets
 //! no requests for a backoff period that grows with each consecutive refusal, and then a
 //! single trial request. An upstream that names a pause gets no requests for that long, see
-//! [`Words`](super::Words), and then a trial request as well.
+//! [`UpstreamNotices`](super::UpstreamNotices), and then a trial request as well.
 
 use crate::Time;
 use std::time::Duration;
--- a/trouttrack_core/src/upstream/row.rs
+++ b/trouttrack_core/src/upstream/row.rs
@@ -4,12 +4,12 @@
 use super::circuit::{Circuit, CircuitState};
 use super::incarnation::Incarnation;
 use super::losses::Losses;
-use super::notices::Word;
+use super::notices::Availability;
 use super::rate_limit::RateLimit;
 use super::refusals::Refusals;
-use super::runs::{OwnRun, PeerUse, Teller, peak};
+use super::runs::{OwnRun, PeerUse, ReportSource, peak};
 use super::shared_rate::{Allowance, Handovers, RateShare};
-use super::spec::{Report, Spec};
+use super::spec::{LoadReport, UpstreamSpec};
 use crate::Time;
 use crate::debug_asserts::assert_positive;
 use crate::membership::UpstreamUse;
@@ -36,9 +36,9 @@
 #[derive(Clone, Debug)]
 pub struct Upstream {
     /// Configuration.
-    pub spec: Spec,
+    pub spec: UpstreamSpec,
     /// Last load report.
-    pub report: Report,
+    pub report: LoadReport,
     /// Number of requests that this process has handed over and that have not ended.
     pub own_running: usize,
     /// Progress of this process's running requests.
@@ -55,7 +55,7 @@
     /// mark.
     pub leaving: bool,
     /// Availability announced by the upstream itself.
-    pub(crate) word: Word,
+    pub(crate) availability: Availability,
     /// Whether its failure domain is being evacuated, so that it gets no new requests until the
     /// evacuation is revoked. Running requests complete there.
     pub evacuated: bool,
@@ -72,10 +72,10 @@
 
 impl Upstream {
     /// Creates the state of an unused upstream.
-    pub(super) fn new(spec: Spec, peers_report_use: bool) -> Self {
+    pub(super) fn new(spec: UpstreamSpec, peers_report_use: bool) -> Self {
         Self {
             spec,
-            report: Report::default(),
+            report: LoadReport::default(),
             own_running: 0,
             own: Vec::new(),
             peers: Vec::new(),
@@ -83,7 +83,7 @@
             since_report: 0,
             ended_since_report: 0,
             leaving: false,
-            word: Word::default(),
+            availability: Availability::default(),
             evacuated: false,
             circuit: Circuit::default(),
             refusals: Refusals::default(),
@@ -94,7 +94,7 @@
     }
 
     /// Applies a load report, unless it is older than the last one.
-    pub fn take_report(&mut self, report: Report) {
+    pub fn take_report(&mut self, report: LoadReport) {
         if report.at < self.report.at {
             return;
         }
@@ -171,8 +171,8 @@
     /// Estimates the time from `now`, in seconds, until the prompts that this process and its
     /// peers have handed over are prefilled.
     #[must_use]
-    pub fn loading_seconds(&self, now: Time) -> f64 {
-        let peers: f64 = self.peers.iter().map(|p| p.loading.tokens(now)).sum();
+    pub fn prefill_seconds(&self, now: Time) -> f64 {
+        let peers: f64 = self.peers.iter().map(|p| p.backlog.tokens(now)).sum();
         prefill_seconds(self.own_loading() + peers)
     }
 
@@ -186,18 +186,18 @@
     /// Estimates the time from `now` until the prompts that were handed over before this
     /// process's newest request are prefilled; `newest` is that request's prompt length.
     #[must_use]
-    pub fn loading_before(&self, now: Time, newest: u64) -> Time {
+    pub fn prefill_wait(&self, now: Time, newest: u64) -> Time {
         let newest = prefill_seconds(newest as f64);
-        Time::from_secs_f64((self.loading_seconds(now) - newest).max(0.0))
+        Time::from_secs_f64((self.prefill_seconds(now) - newest).max(0.0))
     }
 
     /// Returns the age of the oldest usage report among the peers that use it.
     #[must_use]
-    pub fn oldest_word(&self, now: Time) -> Option<Time> {
+    pub fn oldest_report_age(&self, now: Time) -> Option<Time> {
         let ages = self
             .peers
             .iter()
-            .map(|p| now.saturating_sub(p.loading.observed_at()));
+            .map(|p| now.saturating_sub(p.backlog.observed_at()));
         ages.max()
     }
 
@@ -215,21 +215,21 @@
     /// Returns the remaining warm-up after its start, from 1 (fully cold) to 0 (warm).
     #[must_use]
     pub fn coldness(&self, now: Time) -> f64 {
-        let left = self.spec.warm_at.saturating_sub(now);
+        let left = self.spec.warm_up_ends_at.saturating_sub(now);
         (left.as_secs_f64() / FULLY_COLD_TIME.as_secs_f64()).min(1.0)
     }
 
     /// Returns whether it may get new requests at `now`, by its own notices and operators'
     /// commands.
     #[must_use]
-    pub fn wants_work(&self, now: Time) -> bool {
-        self.is_in_service() && self.word.wants_work(now)
+    pub fn accepts_requests(&self, now: Time) -> bool {
+        self.is_in_service() && self.availability.accepts_requests(now)
     }
 
     /// Returns the request rate that it has announced to accept from all VMs together.
     #[must_use]
-    pub fn named_limit(&self) -> RateLimit {
-        self.word.rate_limit()
+    pub fn announced_limit(&self) -> RateLimit {
+        self.availability.rate_limit()
     }
 
     /// Returns whether it is neither marked as leaving nor evacuated.
@@ -239,7 +239,7 @@
 
     /// Returns whether it may be given a new request at `now`.
     #[must_use]
-    pub fn open(&self, now: Time) -> bool {
+    pub fn is_available(&self, now: Time) -> bool {
         let trial = match self.circuit.state(now) {
             CircuitState::Closed => true,
             CircuitState::Open => false,
@@ -247,30 +247,30 @@
         };
         let peers = self.peers.iter().filter_map(|p| p.lost_at);
         let suspected = self.losses.suspected(now, peers);
-        let wanted = self.wants_work(now) && self.refusals.allows(now);
+        let wanted = self.accepts_requests(now) && self.refusals.allows(now);
         wanted && trial && !suspected && self.running_at(now) < self.spec.max_running
     }
 
     /// Returns the requests per second that it accepts from all VMs together, if bounded.
     #[must_use]
     pub fn bounded_rate(&self, now: Time) -> Option<f64> {
-        let is_cold = self.spec.warm_at > now && self.spec.cold_rate > 0.0;
+        let is_cold = self.spec.warm_up_ends_at > now && self.spec.cold_rate > 0.0;
         let cold = is_cold.then_some(self.spec.cold_rate);
-        let named = self.word.rate_limit().per_second();
+        let named = self.availability.rate_limit().per_second();
         let named = named.map(|rate| rate.max(MIN_RATE_PER_SECOND));
         let lowest = cold.into_iter().chain(named).min_by(f64::total_cmp);
         lowest.map(|rate| rate.min(MAX_RATE_PER_SECOND))
     }
 
     /// Returns whether one more request is within its bounded rate; `seed` differs between VMs.
-    pub(crate) fn bears_one_more(
+    pub(crate) fn admits_one_more(
         &self,
         now: Time,
         share: RateShare,
-        near: bool,
+        is_local: bool,
         seed: u64,
     ) -> bool {
-        let Some(allowance) = self.allowance(now, share, near) else {
+        let Some(allowance) = self.allowance(now, share, is_local) else {
             return true;
         };
         allowance.admits(&self.handovers, now, &self.spec.id, seed)
@@ -278,56 +278,56 @@
 
     /// Returns the requests per second that the VMs of a share may hand over together, if its
     /// rate is bounded.
-    pub(crate) fn shared_rate(&self, now: Time, share: RateShare, near: bool) -> Option<f64> {
-        let allowance = self.allowance(now, share, near)?;
+    pub(crate) fn shared_rate(&self, now: Time, share: RateShare, is_local: bool) -> Option<f64> {
+        let allowance = self.allowance(now, share, is_local)?;
         Some(allowance.per_second)
     }
 
-    fn allowance(&self, now: Time, share: RateShare, near: bool) -> Option<Allowance> {
-        let part = if near { share.near } else { share.far };
+    fn allowance(&self, now: Time, share: RateShare, is_local: bool) -> Option<Allowance> {
+        let part = if is_local { share.local } else { share.remote };
         let rate = self.bounded_rate(now)?;
         Some(Allowance::of(rate, part, share.vms))
     }
 
     /// Records that a request is handed over.
-    pub(crate) fn given(&mut self, now: Time) {
+    pub(crate) fn record_handover(&mut self, now: Time) {
         self.refusals.sent();
         if self.bounded_rate(now).is_some() {
-            self.handovers.given(now);
+            self.handovers.record_own(now);
         }
     }
 
     /// Returns the earliest known time at which it may be given a new request; `None` if it is
     /// leaving or its failure domain is evacuated.
     #[must_use]
-    pub fn opens_at(&self, now: Time) -> Option<Time> {
+    pub fn available_at(&self, now: Time) -> Option<Time> {
         let wanted_at = self
-            .word
-            .wants_work_at(now)
+            .availability
+            .accepts_requests_at(now)
             .filter(|_| self.is_in_service())?;
         let allowed_at = self.refusals.retry_at(now);
         Some(wanted_at.max(allowed_at).max(self.circuit.reopens_at(now)))
     }
 
     /// Returns its current incarnation.
-    pub(crate) fn life(&self) -> Incarnation {
+    pub(crate) fn incarnation(&self) -> Incarnation {
         Incarnation::new(&self.spec.id, self.spec.born)
     }
 
     /// Records that peers report their use from now on.
-    pub(super) fn hear_peers(&mut self) {
+    pub(super) fn enable_peer_reports(&mut self) {
         self.peers_report_use = true;
     }
 
     /// Replaces the reported use of a peer.
-    pub(crate) fn take_peer(&mut self, new: PeerUse) {
-        self.forget_peer(&new.teller);
+    pub(crate) fn set_peer_use(&mut self, new: PeerUse) {
+        self.remove_peer_use(&new.source);
         self.peers.push(new);
     }
 
     /// Removes the reported use of a peer.
-    pub(crate) fn forget_peer(&mut self, teller: &Teller) {
-        self.peers.retain(|p| p.teller != *teller);
+    pub(crate) fn remove_peer_use(&mut self, source: &ReportSource) {
+        self.peers.retain(|p| p.source != *source);
     }
 
     /// Returns the total use by this process and the peers in its failure domain, to be
@@ -336,11 +336,11 @@
         let (mut running, mut peak) = (self.own_running, self.own_peak());
         let mut held = self.own_held();
         let mut loading = self.own_loading();
-        for peer in self.peers.iter().filter(|p| p.near) {
+        for peer in self.peers.iter().filter(|p| p.is_local) {
             running += peer.running;
             peak += peer.peak_tokens;
             held += peer.held_tokens;
-            loading += peer.loading.tokens(now);
+            loading += peer.backlog.tokens(now);
         }
         UpstreamUse {
             upstream: self.spec.id.clone(),
--- a/trouttrack_core/src/upstream/runs.rs
+++ b/trouttrack_core/src/upstream/runs.rs
@@ -20,7 +20,7 @@
 
 /// Source of a usage report.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Teller {
+pub(crate) enum ReportSource {
     /// A VM, reporting its own use.
     Vm(String),
     /// A VM of another failure domain, reporting the total use by all VMs there.
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct PeerUse {
     /// Source of the report.
-    pub(crate) teller: Teller,
+    pub(crate) source: ReportSource,
     /// Whether the source is a VM in this VM's failure domain.
-    pub(crate) near: bool,
+    pub(crate) is_local: bool,
     /// Requests that were handed over and have not ended.
     pub(crate) running: usize,
     /// Forecast peak of the tokens that these requests hold.
@@ -41,7 +41,7 @@
     /// Tokens that they held at the time of the report.
     pub(crate) held_tokens: f64,
     /// Prompt tokens that await prefill.
-    pub(crate) loading: Backlog,
+    pub(crate) backlog: Backlog,
     /// When a request of the source last lost its connection to the upstream before any
     /// response.
     pub(crate) lost_at: Option<Time>,
@@ -58,7 +58,7 @@
     /// running call in whatever it reports next, but reports its end only with its next
     /// heartbeat, which may go to other VMs.
     pub(crate) fn running_calls(&self, now: Time) -> usize {
-        match now.saturating_sub(self.loading.observed_at()) > CALL_DURATION {
+        match now.saturating_sub(self.backlog.observed_at()) > CALL_DURATION {
             true => 0,
             false => self.running,
         }
--- a/trouttrack_core/src/upstream/shared_rate.rs
+++ b/trouttrack_core/src/upstream/shared_rate.rs
@@ -8,7 +8,7 @@
 //! of another failure domain receive only each other's reports, and keep to a share that is
 //! safe whatever the other VMs do.
 
-use super::runs::Teller;
+use super::runs::ReportSource;
 use crate::Time;
 use std::collections::{HashMap, VecDeque};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
@@ -42,17 +42,17 @@
 /// use trouttrack_core::upstream::RateShare;
 /// // All 16 VMs of one of four equal failure domains hear each other.
 /// let share = RateShare::of(16, 16, 64);
-/// assert_eq!((share.near, share.far), (1.0, 0.125));
+/// assert_eq!((share.local, share.remote), (1.0, 0.125));
 /// // One that hears nobody takes what is safe if all others do the same.
 /// let share = RateShare::of(1, 16, 64);
-/// assert_eq!(share.near, 0.033203125);
+/// assert_eq!(share.local, 0.033203125);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateShare {
     /// Fraction for upstreams in this VM's failure domain.
-    pub near: f64,
+    pub local: f64,
     /// Fraction for upstreams in other failure domains.
-    pub far: f64,
+    pub remote: f64,
     /// Number of VMs that use these fractions together, including this one.
     pub vms: usize,
 }
@@ -60,23 +60,23 @@
 impl RateShare {
     /// No share, used while the number of VMs is unknown: any fraction might be too much.
     pub const NONE: Self = Self {
-        near: 0.0,
-        far: 0.0,
+        local: 0.0,
+        remote: 0.0,
         vms: 1,
     };
 
-    /// Computes the share of a VM that hears from `heard` of the `near` VMs in its failure
+    /// Computes the share of a VM that hears from `heard` of the `local` VMs in its failure
     /// domain (both counts include itself), in a fleet of `all` VMs.
     #[must_use]
-    pub fn of(heard: usize, near: usize, all: usize) -> Self {
+    pub fn of(heard: usize, local: usize, all: usize) -> Self {
         let vms = heard.max(1);
         let heard = vms as f64;
-        let near = (near as f64).max(heard);
-        let all = (all as f64).max(near);
-        let coordination = ISOLATED_FRACTION + (1.0 - ISOLATED_FRACTION) * heard / near;
+        let local = (local as f64).max(heard);
+        let all = (all as f64).max(local);
+        let coordination = ISOLATED_FRACTION + (1.0 - ISOLATED_FRACTION) * heard / local;
         Self {
-            near: heard / near * coordination,
-            far: heard / all * REMOTE_FRACTION * coordination,
+            local: heard / local * coordination,
+            remote: heard / all * REMOTE_FRACTION * coordination,
             vms,
         }
     }
@@ -84,9 +84,9 @@
 
 /// Hand-over counts that a VM reports for an upstream whose rate is bounded.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct ToldHandovers {
+pub(crate) struct ReportedHandovers {
     /// Total since the VM started.
-    pub(crate) all: u32,
+    pub(crate) total: u32,
     /// Number within the last `COUNT_WINDOW`.
     pub(crate) recent: u32,
 }
@@ -99,14 +99,14 @@
     /// Times of this VM's recent hand-overs.
     own_times: VecDeque<Time>,
     /// Last reported total of each peer.
-    peer_totals: HashMap<Teller, u32>,
+    peer_totals: HashMap<ReportSource, u32>,
     /// Times at which recent hand-overs were made by this VM or reported by peers.
     times: VecDeque<Time>,
 }
 
 impl Handovers {
     /// Records a hand-over by this VM at `now`.
-    pub(crate) fn given(&mut self, now: Time) {
+    pub(crate) fn record_own(&mut self, now: Time) {
         self.own_total = self.own_total.saturating_add(1);
         self.own_times
             .retain(|at| now.saturating_sub(*at) < COUNT_WINDOW);
@@ -116,13 +116,18 @@
 
     /// Records the counts reported by a peer. If its previous total is unknown, or higher
     /// because the peer has restarted, its recent count is used.
-    pub(crate) fn told(&mut self, now: Time, teller: &Teller, told: ToldHandovers) {
-        if told.all == 0 {
+    pub(crate) fn record_peer(
+        &mut self,
+        now: Time,
+        source: &ReportSource,
+        reported: ReportedHandovers,
+    ) {
+        if reported.total == 0 {
             return;
         }
-        let before = self.peer_totals.insert(teller.clone(), told.all);
-        let new = before.and_then(|before| told.all.checked_sub(before));
-        self.add(now, new.unwrap_or(told.recent));
+        let before = self.peer_totals.insert(source.clone(), reported.total);
+        let new = before.and_then(|before| reported.total.checked_sub(before));
+        self.add(now, new.unwrap_or(reported.recent));
     }
 
     fn add(&mut self, now: Time, count: u32) {
@@ -135,10 +140,10 @@
     }
 
     /// Returns this VM's own counts, to be reported to peers.
-    pub(crate) fn own(&self, now: Time) -> ToldHandovers {
+    pub(crate) fn own_counts(&self, now: Time) -> ReportedHandovers {
         let recent = |at: &&Time| now.saturating_sub(**at) < COUNT_WINDOW;
-        ToldHandovers {
-            all: self.own_total,
+        ReportedHandovers {
+            total: self.own_total,
             recent: self.own_times.iter().filter(recent).count() as u32,
         }
     }
--- a/trouttrack_core/src/upstream/spec.rs
+++ b/trouttrack_core/src/upstream/spec.rs
@@ -4,7 +4,7 @@
 
 /// Configuration of an upstream.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Spec {
+pub struct UpstreamSpec {
     /// Unique id.
     pub id: UpstreamId,
     /// Start time of this incarnation in Unix milliseconds; 0 if unknown.
@@ -18,14 +18,14 @@
     /// Maximum number of concurrent requests.
     pub max_running: usize,
     /// End of the warm-up period after its start, during which it is slow.
-    pub warm_at: Time,
-    /// Requests per second that it sustains until `warm_at`; 0 if not bounded.
+    pub warm_up_ends_at: Time,
+    /// Requests per second that it sustains until `warm_up_ends_at`; 0 if not bounded.
     pub cold_rate: f64,
 }
 
 /// A load report from the upstream itself. Reports arrive with a delay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Time that the report describes, on this process's clock.
     pub at: Time,
     /// Running requests.
--- a/trouttrack_core/src/upstream/table.rs
+++ b/trouttrack_core/src/upstream/table.rs
@@ -1,7 +1,7 @@
 //! The table of upstreams, with an index by service.
 
 use super::row::{Upstream, UpstreamKey};
-use super::spec::Spec;
+use super::spec::UpstreamSpec;
 use crate::UpstreamId;
 use crate::membership::Evacuations;
 use slotmap::SlotMap;
@@ -13,7 +13,7 @@
 pub struct UpstreamTable {
     rows: SlotMap<UpstreamKey, Upstream>,
     by_id: HashMap<UpstreamId, UpstreamKey>,
-    by_service: HashMap<String, Serving>,
+    by_service: HashMap<String, ServiceUpstreams>,
     /// Whether peers report their use of upstreams.
     peers_report_use: bool,
     /// Failure domains whose upstreams get no new requests.
@@ -22,7 +22,7 @@
 
 /// The upstreams of a service, those of this VM's failure domain first.
 #[derive(Clone, Debug, Default)]
-pub struct Serving {
+pub struct ServiceUpstreams {
     /// Keys of the upstreams.
     pub keys: Vec<UpstreamKey>,
     /// Number of leading keys whose upstreams are in this VM's failure domain.
@@ -36,22 +36,22 @@
     /// # Examples
     ///
     /// ```
-    /// use trouttrack_core::upstream::{Spec, UpstreamTable};
+    /// use trouttrack_core::upstream::{UpstreamSpec, UpstreamTable};
     /// let mut table = UpstreamTable::default();
-    /// let spec = Spec {
+    /// let spec = UpstreamSpec {
     ///     id: "e1".into(),
     ///     failure_domain: "a".into(),
     ///     services: vec!["lookup".into()],
     ///     capacity_tokens: 1000,
     ///     max_running: 8,
-    ///     warm_at: std::time::Duration::ZERO,
+    ///     warm_up_ends_at: std::time::Duration::ZERO,
     ///     born: 0,
     ///     cold_rate: 0.0,
     /// };
     /// table.configure(vec![spec], "a");
     /// assert_eq!(table.serving("lookup").unwrap().local, 1);
     /// ```
-    pub fn configure(&mut self, specs: Vec<Spec>, home: &str) {
+    pub fn configure(&mut self, specs: Vec<UpstreamSpec>, home: &str) {
         let wanted: HashSet<&str> = specs.iter().map(|s| s.id.as_str()).collect();
         self.rows
             .retain(|_, row| wanted.contains(row.spec.id.as_str()));
@@ -63,7 +63,7 @@
         self.index_services(home);
     }
 
-    fn put(&mut self, spec: Spec) {
+    fn put(&mut self, spec: UpstreamSpec) {
         let evacuated = self.evacuations.contains(&spec.failure_domain);
         let key = match self.by_id.get(&spec.id) {
             Some(&key) => {
@@ -82,7 +82,7 @@
 
     /// Sets the failure domains whose upstreams get no new requests, including upstreams
     /// that are added later.
-    pub(crate) fn evacuate(&mut self, evacuations: Evacuations) {
+    pub(crate) fn set_evacuations(&mut self, evacuations: Evacuations) {
         for row in self.rows.values_mut() {
             row.evacuated = evacuations.contains(&row.spec.failure_domain);
         }
@@ -112,17 +112,17 @@
     /// so that all processes assign requests in the same order.
     fn index(&mut self, key: UpstreamKey, home: &str) {
         let spec = &self.rows[key].spec;
-        let near = spec.failure_domain == home;
+        let is_local = spec.failure_domain == home;
         for service in &spec.services {
             let serving = self.by_service.entry(service.clone()).or_default();
-            let part = match near {
+            let part = match is_local {
                 true => 0..serving.local,
                 false => serving.local..serving.keys.len(),
             };
             let before = |k: &UpstreamKey| self.rows[*k].spec.id < spec.id;
             let pos = part.start + serving.keys[part].partition_point(before);
             serving.keys.insert(pos, key);
-            serving.local += usize::from(near);
+            serving.local += usize::from(is_local);
         }
     }
 
@@ -144,7 +144,7 @@
 
     /// Adds an upstream, or replaces its configuration. An existing row keeps its state, and no
     /// other row is visited.
-    pub fn insert(&mut self, spec: Spec, home: &str) {
+    pub fn insert(&mut self, spec: UpstreamSpec, home: &str) {
         let known = self.by_id.get(&spec.id).copied();
         let same_lists = known.is_some_and(|key| {
             let old = &self.rows[key].spec;
@@ -171,15 +171,17 @@
 
     /// Records that peers report their use of upstreams, so that an upstream without reports is
     /// unused by peers.
-    pub(crate) fn hear_peers(&mut self) {
+    pub(crate) fn enable_peer_reports(&mut self) {
         if !mem::replace(&mut self.peers_report_use, true) {
-            self.rows.values_mut().for_each(Upstream::hear_peers);
+            self.rows
+                .values_mut()
+                .for_each(Upstream::enable_peer_reports);
         }
     }
 
     /// Returns the upstreams that run a service; `None` if there are none.
     #[must_use]
-    pub fn serving(&self, service: &str) -> Option<&Serving> {
+    pub fn serving(&self, service: &str) -> Option<&ServiceUpstreams> {
         self.by_service.get(service)
     }
 
--- a/trouttrack_core/src/world/mod.rs
+++ b/trouttrack_core/src/world/mod.rs
@@ -1,11 +1,11 @@
 //! Scheduling state of one gateway and the passes that run over it on each tick.
 
+mod notices;
 mod peers;
 mod queue;
 mod relocate;
 mod systems;
 mod tables;
-mod words;
 
 pub use queue::FairQueue;
 pub use relocate::Target;
--- a/trouttrack_core/src/world/words.rs
+++ b/trouttrack_core/src/world/notices.rs
@@ -1,7 +1,7 @@
 //! Applies the status that upstreams report about themselves to the upstream table.
 
 use super::tables::World;
-use crate::upstream::{Incarnation, Said, ToldLimit, Word};
+use crate::upstream::{Availability, Incarnation, ReportedLimit, UpstreamNotice};
 use crate::{Time, UpstreamId};
 
 impl World {
@@ -15,38 +15,43 @@
         else {
             return;
         };
-        row.word = self.words.of(&row.life());
+        row.availability = self.notices.availability(&row.incarnation());
     }
 
     /// Records a status report of an upstream, regardless of the channel it came by.
     /// Returns whether it changed anything.
-    pub fn hear(&mut self, now: Time, incarnation: &Incarnation, said: Said) -> bool {
-        let changed = self.words.hear(now, incarnation, said);
+    pub fn receive_notice(
+        &mut self,
+        now: Time,
+        incarnation: &Incarnation,
+        notice: UpstreamNotice,
+    ) -> bool {
+        let changed = self.notices.receive(now, incarnation, notice);
         self.refresh_status(&incarnation.id);
         changed
     }
 
     /// Rate limits reported by upstreams, to be passed on to other VMs; see
-    /// [`Words::limits`].
+    /// [`UpstreamNotices::limits`].
     #[must_use]
-    pub fn limits(&self, now: Time, changed_after: Time) -> Vec<ToldLimit> {
-        self.words.limits(now, changed_after)
+    pub fn limits(&self, now: Time, changed_after: Time) -> Vec<ReportedLimit> {
+        self.notices.limits(now, changed_after)
     }
 
     /// Status reported by one incarnation of an upstream.
     #[must_use]
-    pub fn word_of(&self, incarnation: &Incarnation) -> Word {
-        self.words.of(incarnation)
+    pub fn availability_of(&self, incarnation: &Incarnation) -> Availability {
+        self.notices.availability(incarnation)
     }
 
     /// Drops old status reports of upstreams that are no longer listed.
-    pub fn forget_words(&mut self, now: Time) {
+    pub fn expire_notices(&mut self, now: Time) {
         let upstreams = &self.upstreams;
         let listed = |incarnation: &Incarnation| {
             let row = upstreams.get_by_id(&incarnation.id);
             row.is_some_and(|u| u.spec.born == incarnation.born)
         };
-        self.words.forget(now, listed);
+        self.notices.forget(now, listed);
     }
 
     /// Copies the reported status of every upstream into its row.
--- a/trouttrack_core/src/world/peers.rs
+++ b/trouttrack_core/src/world/peers.rs
@@ -11,7 +11,7 @@
 use crate::Time;
 use crate::membership::UpstreamUse;
 use crate::upstream::{
-    Backlog, PeerUse, Teller, ToldHandovers, Upstream, UpstreamKey, UpstreamTable,
+    Backlog, PeerUse, ReportSource, ReportedHandovers, Upstream, UpstreamKey, UpstreamTable,
 };
 use std::collections::HashMap;
 
@@ -23,7 +23,7 @@
 /// The latest heartbeat of each peer.
 #[derive(Debug, Default)]
 pub(crate) struct PeerHeartbeats {
-    by_teller: HashMap<Teller, PeerHeartbeat>,
+    by_source: HashMap<ReportSource, PeerHeartbeat>,
     /// Time of the last check for silent peers.
     swept_at: Time,
 }
@@ -45,10 +45,10 @@
             return;
         }
         self.swept_at = now;
-        self.by_teller.retain(|teller, heartbeat| {
+        self.by_source.retain(|source, heartbeat| {
             let silent = now.saturating_sub(heartbeat.at) > PEER_TIMEOUT;
             if silent {
-                remove_uses(upstreams, &heartbeat.rows, teller);
+                remove_uses(upstreams, &heartbeat.rows, source);
             }
             !silent
         });
@@ -56,16 +56,16 @@
 
     /// Whether the total of a failure domain has been received recently.
     fn has_domain_total(&self, failure_domain: &str) -> bool {
-        let teller = Teller::FailureDomain(failure_domain.to_owned());
-        self.by_teller.contains_key(&teller)
+        let source = ReportSource::FailureDomain(failure_domain.to_owned());
+        self.by_source.contains_key(&source)
     }
 }
 
 /// Removes a peer's use from the given rows.
-fn remove_uses(upstreams: &mut UpstreamTable, rows: &[UpstreamKey], teller: &Teller) {
+fn remove_uses(upstreams: &mut UpstreamTable, rows: &[UpstreamKey], source: &ReportSource) {
     for key in rows {
         if let Some(u) = upstreams.get_mut(*key) {
-            u.forget_peer(teller);
+            u.remove_peer_use(source);
         }
     }
 }
@@ -74,19 +74,31 @@
     /// Records a peer's use of upstreams. Connections lost by the peer count only if it is
     /// in this VM's failure domain: an upstream that is unreachable from another domain may
     /// be reachable from this one.
-    pub fn peer_uses(&mut self, now: Time, peer: &str, failure_domain: &str, uses: &[UpstreamUse]) {
-        let near = failure_domain == self.settings.failure_domain;
-        let has_total = !near && self.peers.has_domain_total(failure_domain);
+    pub fn record_peer_uses(
+        &mut self,
+        now: Time,
+        peer: &str,
+        failure_domain: &str,
+        uses: &[UpstreamUse],
+    ) {
+        let is_local = failure_domain == self.settings.failure_domain;
+        let has_total = !is_local && self.peers.has_domain_total(failure_domain);
         let counts = |u: &Upstream| !has_total || u.spec.failure_domain != failure_domain;
-        self.replace_uses(now, Teller::Vm(peer.to_owned()), uses, near, counts);
+        self.replace_uses(
+            now,
+            ReportSource::Vm(peer.to_owned()),
+            uses,
+            is_local,
+            counts,
+        );
     }
 
     /// Records the total use that the VMs of another failure domain make of its upstreams.
     /// Their use of upstreams in other domains is reported by each VM to those domains.
-    pub fn domain_uses_told(&mut self, now: Time, failure_domain: &str, uses: &[UpstreamUse]) {
-        let teller = Teller::FailureDomain(failure_domain.to_owned());
+    pub fn record_domain_uses(&mut self, now: Time, failure_domain: &str, uses: &[UpstreamUse]) {
+        let source = ReportSource::FailureDomain(failure_domain.to_owned());
         let in_domain = |u: &Upstream| u.spec.failure_domain == failure_domain;
-        self.replace_uses(now, teller, uses, false, in_domain);
+        self.replace_uses(now, source, uses, false, in_domain);
     }
 
     /// Total use that the VMs of this failure domain make of its upstreams, as sent to the
@@ -105,15 +117,15 @@
     fn replace_uses(
         &mut self,
         now: Time,
-        teller: Teller,
+        source: ReportSource,
         uses: &[UpstreamUse],
-        near: bool,
+        is_local: bool,
         counts: impl Fn(&Upstream) -> bool,
     ) {
-        self.upstreams.hear_peers();
+        self.upstreams.enable_peer_reports();
         self.peers.expire_silent_peers(now, &mut self.upstreams);
-        if let Some(before) = self.peers.by_teller.get(&teller) {
-            remove_uses(&mut self.upstreams, &before.rows, &teller);
+        if let Some(before) = self.peers.by_source.get(&source) {
+            remove_uses(&mut self.upstreams, &before.rows, &source);
         }
         let mut rows = Vec::with_capacity(uses.len());
         for used in uses {
@@ -124,32 +136,32 @@
                 continue;
             };
             rows.push(key);
-            u.handovers.told(now, &teller, handover_counts(used));
-            u.take_peer(peer_use(now, &teller, used, near));
+            u.handovers.record_peer(now, &source, handover_counts(used));
+            u.set_peer_use(peer_use(now, &source, used, is_local));
         }
         let heartbeat = PeerHeartbeat { at: now, rows };
-        self.peers.by_teller.insert(teller, heartbeat);
+        self.peers.by_source.insert(source, heartbeat);
     }
 }
 
-fn handover_counts(used: &UpstreamUse) -> ToldHandovers {
-    ToldHandovers {
-        all: used.handovers,
+fn handover_counts(used: &UpstreamUse) -> ReportedHandovers {
+    ReportedHandovers {
+        total: used.handovers,
         recent: used.recent_handovers,
     }
 }
 
-fn peer_use(now: Time, teller: &Teller, used: &UpstreamUse, near: bool) -> PeerUse {
+fn peer_use(now: Time, source: &ReportSource, used: &UpstreamUse, is_local: bool) -> PeerUse {
     PeerUse {
-        teller: teller.clone(),
-        near,
+        source: source.clone(),
+        is_local,
         running: used.running as usize,
         peak_tokens: used.peak_tokens as f64,
         held_tokens: used.held_tokens as f64,
-        loading: Backlog::of(now, used.loading_tokens as f64),
+        backlog: Backlog::of(now, used.loading_tokens as f64),
         lost_at: used
             .lost_ms
-            .filter(|_| near)
+            .filter(|_| is_local)
             .map(|ms| now.saturating_sub(Time::from_millis(ms))),
     }
 }
--- a/trouttrack_core/src/world/relocate.rs
+++ b/trouttrack_core/src/world/relocate.rs
@@ -25,7 +25,7 @@
     /// number of running requests and failure domain. `home` is the failure domain where
     /// the request runs.
     #[must_use]
-    pub fn target(
+    pub fn move_target(
         &self,
         now: Time,
         key: RequestKey,
@@ -42,7 +42,7 @@
             .iter()
             .filter(|k| usable(k))
             .filter_map(|k| self.upstreams.get(*k))
-            .filter(|u| u.open(now) && self.bears_one_more(now, u))
+            .filter(|u| u.is_available(now) && self.admits_one_more(now, u))
             .filter(|u| !avoid.contains(&u.spec.id))
             .filter_map(|u| score_target(u, run, home, self.settings.moved_fill))
             .min_by(|a, b| a.0.total_cmp(&b.0))
@@ -61,11 +61,11 @@
 
     /// Free memory, in tokens, over all upstreams of a failure domain that accept work.
     #[must_use]
-    pub fn room_near(&self, now: Time, service: &str, home: &str) -> f64 {
+    pub fn free_tokens_in_domain(&self, now: Time, service: &str, home: &str) -> f64 {
         let serving = self.upstreams.serving(service);
         let keys = serving.map_or(&[][..], |s| &s.keys);
         let rows = keys.iter().filter_map(|k| self.upstreams.get(*k));
-        rows.filter(|u| u.open(now) && u.spec.failure_domain == home)
+        rows.filter(|u| u.is_available(now) && u.spec.failure_domain == home)
             .map(|u| (u.spec.capacity_tokens as f64 - u.peak_tokens(None)).max(0.0))
             .sum()
     }
@@ -93,7 +93,7 @@
         }
         if let Some(u) = self.upstreams.get_mut(target) {
             u.add_loaded(run);
-            u.given(now);
+            u.record_handover(now);
         }
     }
 }
--- a/trouttrack_core/src/world/systems.rs
+++ b/trouttrack_core/src/world/systems.rs
@@ -51,7 +51,7 @@
         for (key, opening) in unreachable {
             let wait = opening.map_or(MIN_RETRY_AFTER, |o| o.at.saturating_sub(now));
             let reason = match opening {
-                Some(Opening { paused: true, .. }) => NotRunReason::Resting,
+                Some(Opening { paused: true, .. }) => NotRunReason::UpstreamPaused,
                 _ => NotRunReason::Unreachable,
             };
             self.refuse_for(key, reason, wait);
@@ -114,7 +114,7 @@
     fn total_rate_limit(&self, now: Time, service: &str) -> Option<f64> {
         let serving = self.upstreams.serving(service)?;
         let rows = serving.keys.iter().filter_map(|k| self.upstreams.get(*k));
-        let wanted = rows.filter(|u| u.wants_work(now));
+        let wanted = rows.filter(|u| u.accepts_requests(now));
         let rates: Option<Vec<f64>> = wanted.map(|u| self.shared_rate(now, u)).collect();
         let total: f64 = rates?.iter().sum();
         (total > 0.0).then_some(total)
@@ -126,8 +126,8 @@
         let rows = serving.keys.iter().filter_map(|k| self.upstreams.get(*k));
         let openings = rows.filter_map(|u| {
             Some(Opening {
-                at: u.opens_at(now)?,
-                paused: !u.wants_work(now),
+                at: u.available_at(now)?,
+                paused: !u.accepts_requests(now),
             })
         });
         openings.min_by_key(|opening| opening.at)
@@ -316,7 +316,7 @@
             .get_mut(upstream)
             .expect("candidates come from the table");
         u.add(new);
-        u.given(now);
+        u.record_handover(now);
         Decision::Place {
             request: key,
             upstream: u.spec.id.clone(),
@@ -367,7 +367,7 @@
         let key = keys[index];
         let u = self.world.upstreams.get(key)?;
         let avoided = self.skip_avoided && self.submission.avoid.contains(&u.spec.id);
-        if avoided || !u.open(self.now) || !self.world.bears_one_more(self.now, u) {
+        if avoided || !u.is_available(self.now) || !self.world.admits_one_more(self.now, u) {
             return None;
         }
         let urgent = self.submission.priority == 0;
@@ -386,7 +386,7 @@
             fits,
             local: u.spec.failure_domain == self.world.settings.failure_domain,
             alternatives: self.alternatives,
-            backlog: u.loading_seconds(self.now),
+            backlog: u.prefill_seconds(self.now),
             cold: u.coldness(self.now),
         })
     }
--- a/trouttrack_core/src/world/tables.rs
+++ b/trouttrack_core/src/world/tables.rs
@@ -5,7 +5,9 @@
 use crate::length::{LengthKey, LengthTable};
 use crate::membership::{Evacuations, UpstreamUse};
 use crate::routing::{AnyPolicy, ExplanationTable};
-use crate::upstream::{RateShare, Report, Spec, Upstream, UpstreamKey, UpstreamTable, Words};
+use crate::upstream::{
+    LoadReport, RateShare, Upstream, UpstreamKey, UpstreamNotices, UpstreamSpec, UpstreamTable,
+};
 use crate::{OrganisationId, RequestId, ServiceId, Time};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -123,7 +125,7 @@
     Unreachable,
     /// The upstream that is the first to accept work again has asked for a pause beyond the
     /// request's deadline.
-    Resting,
+    UpstreamPaused,
     /// At the rate limits of all upstreams the request could not be sent before its deadline.
     RateLimited,
     /// A retry was needed and the service's retry budget is exhausted.
@@ -214,7 +216,7 @@
     pub(crate) limits: Limits,
     pub(crate) peers: PeerHeartbeats,
     /// Status reported by upstreams about themselves; each row holds a copy of its own.
-    pub(crate) words: Words,
+    pub(crate) notices: UpstreamNotices,
     /// Share that this VM has of a rate limit common to all VMs; none until it is set.
     pub(crate) rate_share: RateShare,
     pub(crate) rng: SmallRng,
@@ -237,20 +239,20 @@
             deadlines: BTreeSet::new(),
             limits: Limits::default(),
             peers: PeerHeartbeats::default(),
-            words: Words::default(),
+            notices: UpstreamNotices::default(),
             refused: Vec::new(),
         }
     }
 
     /// Replaces the upstreams by those of a new configuration.
-    pub fn configure(&mut self, specs: Vec<Spec>) {
+    pub fn configure(&mut self, specs: Vec<UpstreamSpec>) {
         self.upstreams
             .configure(specs, &self.settings.failure_domain);
         self.refresh_all_statuses();
     }
 
     /// Adds or updates one upstream.
-    pub fn put_upstream(&mut self, spec: Spec) {
+    pub fn put_upstream(&mut self, spec: UpstreamSpec) {
         let id = spec.id.clone();
         self.upstreams.insert(spec, &self.settings.failure_domain);
         self.refresh_status(&id);
@@ -262,7 +264,7 @@
     }
 
     /// Records an upstream's load report.
-    pub fn report(&mut self, upstream: &str, report: Report) {
+    pub fn report(&mut self, upstream: &str, report: LoadReport) {
         if let Some(row) = self.row_mut(upstream) {
             row.take_report(report);
         }
@@ -270,9 +272,9 @@
 
     /// This VM's use of upstreams, as sent in its heartbeat.
     #[must_use]
-    pub fn own_uses(&self, now: Time) -> Vec<UpstreamUse> {
+    pub fn local_uses(&self, now: Time) -> Vec<UpstreamUse> {
         let is_reported = |u: &Upstream| {
-            let rate_limited = u.handovers.own(now).recent > 0;
+            let rate_limited = u.handovers.own_counts(now).recent > 0;
             u.own_running > 0 || rate_limited || u.losses.age(now).is_some()
         };
         let used = self.upstreams.iter().filter(|(_, u)| is_reported(u));
@@ -283,8 +285,8 @@
             held_tokens: u.own_held() as u64,
             loading_tokens: u.own_loading() as u64,
             lost_ms: u.losses.age(now).map(|age| age.as_millis() as u64),
-            handovers: u.handovers.own(now).all,
-            recent_handovers: u.handovers.own(now).recent,
+            handovers: u.handovers.own_counts(now).total,
+            recent_handovers: u.handovers.own_counts(now).recent,
         })
         .collect()
     }
@@ -303,21 +305,21 @@
     }
 
     /// Whether the rate limit of an upstream, if it has one, permits one more request.
-    pub(crate) fn bears_one_more(&self, now: Time, u: &Upstream) -> bool {
-        let near = u.spec.failure_domain == self.settings.failure_domain;
-        u.bears_one_more(now, self.rate_share, near, self.settings.seed)
+    pub(crate) fn admits_one_more(&self, now: Time, u: &Upstream) -> bool {
+        let is_local = u.spec.failure_domain == self.settings.failure_domain;
+        u.admits_one_more(now, self.rate_share, is_local, self.settings.seed)
     }
 
     /// Requests per second that this VM and those that share a rate limit with it may send
     /// to an upstream, if it is limited.
     pub(crate) fn shared_rate(&self, now: Time, u: &Upstream) -> Option<f64> {
-        let near = u.spec.failure_domain == self.settings.failure_domain;
-        u.shared_rate(now, self.rate_share, near)
+        let is_local = u.spec.failure_domain == self.settings.failure_domain;
+        u.shared_rate(now, self.rate_share, is_local)
     }
 
     /// Sets the failure domains under evacuation; their upstreams get no new work.
     pub fn set_evacuations(&mut self, evacuations: Evacuations) {
-        self.upstreams.evacuate(evacuations);
+        self.upstreams.set_evacuations(evacuations);
     }
 
     fn row_mut(&mut self, upstream: &str) -> Option<&mut Upstream> {
--- a/trouttrack_core/tests/core/bounded_fleet.rs
+++ b/trouttrack_core/tests/core/bounded_fleet.rs
@@ -9,7 +9,9 @@
 use std::time::Duration;
 use trouttrack_core::Time;
 use trouttrack_core::membership::UpstreamUse;
-use trouttrack_core::upstream::{Incarnation, RateLimit, RateShare, RateStatement, Said, Spec};
+use trouttrack_core::upstream::{
+    Incarnation, RateLimit, RateShare, RateStatement, UpstreamNotice, UpstreamSpec,
+};
 use trouttrack_core::world::{World, WorldSettings};
 
 /// Maximum delay of a load update: the pause before sending plus the transit time.
@@ -28,9 +30,9 @@
 }
 
 /// An upstream that stays cold for the whole test.
-pub(crate) fn cold(id: &str, domain: &str, rate: f64) -> Spec {
-    Spec {
-        warm_at: Duration::from_secs(1_000),
+pub(crate) fn cold(id: &str, domain: &str, rate: f64) -> UpstreamSpec {
+    UpstreamSpec {
+        warm_up_ends_at: Duration::from_secs(1_000),
         born: 0,
         cold_rate: rate,
         ..spec(id, domain, 0, 1_000)
@@ -38,9 +40,9 @@
 }
 
 /// The announcement of an upstream whose limit is `per_second` requests per second.
-pub(crate) fn takes(now: Time, per_second: f64) -> Said {
+pub(crate) fn takes(now: Time, per_second: f64) -> UpstreamNotice {
     let limit = RateLimit::PerSecond(per_second);
-    Said::Takes(RateStatement::new(limit, now, now))
+    UpstreamNotice::RateLimit(RateStatement::new(limit, now, now))
 }
 
 fn domain(n: usize) -> String {
@@ -118,7 +120,7 @@
             if let Bounded::Named(rate) = fleet.bounded {
                 for n in 0..fleet.upstreams {
                     let life = Incarnation::new(&format!("u{n}"), 0);
-                    world.hear(Time::ZERO, &life, takes(Time::ZERO, rate));
+                    world.receive_notice(Time::ZERO, &life, takes(Time::ZERO, rate));
                 }
             }
             let heard = if fleet.in_touch { fleet.vms } else { 1 };
@@ -184,7 +186,7 @@
 
     /// Sends a load update to the local failure domain and those of the upstreams in use.
     fn send_update(&mut self, now: Time, from: usize) {
-        let uses = self.worlds[from].own_uses(now);
+        let uses = self.worlds[from].local_uses(now);
         let update: Vec<Use> = uses
             .iter()
             .map(|u| (u.upstream.clone(), u.handovers, u.recent_handovers))
@@ -224,6 +226,6 @@
             })
             .collect();
         let home_domain = domain(from / self.fleet.vms);
-        self.worlds[to].peer_uses(now, &format!("v{from}"), &home_domain, &uses);
+        self.worlds[to].record_peer_uses(now, &format!("v{from}"), &home_domain, &uses);
     }
 }
--- a/trouttrack_core/tests/core/cold.rs
+++ b/trouttrack_core/tests/core/cold.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use std::time::Duration;
 use trouttrack_core::Time;
-use trouttrack_core::upstream::{RateShare, Spec};
+use trouttrack_core::upstream::{RateShare, UpstreamSpec};
 use trouttrack_core::world::World;
 
 /// Requests per second that the upstreams of one production deployment sustain while cold.
@@ -168,8 +168,8 @@
 #[test]
 fn rate_is_bounded_only_while_upstream_is_cold() {
     let mut world = World::new(settings("trouttrack"));
-    let warm = Spec {
-        warm_at: Duration::ZERO,
+    let warm = UpstreamSpec {
+        warm_up_ends_at: Duration::ZERO,
         ..cold("u", "a", RATE)
     };
     world.configure(vec![warm.clone()]);
--- a/trouttrack_core/tests/core/known_load.rs
+++ b/trouttrack_core/tests/core/known_load.rs
@@ -40,7 +40,7 @@
         panic!("placed");
     };
     let reported = |world: &World, at| {
-        let uses = world.own_uses(at);
+        let uses = world.local_uses(at);
         uses.iter().map(|u| u.loading_tokens).sum::<u64>()
     };
     // Regardless of the time it takes, so that a slow engine is not taken for an idle one.
@@ -48,7 +48,7 @@
         let at = NOW + Duration::from_secs(seconds);
         assert_eq!(reported(&world, at), 100);
         let row = world.upstreams.get_by_id(upstream).expect("a row");
-        assert!(row.loading_seconds(at) > 0.0);
+        assert!(row.prefill_seconds(at) > 0.0);
     }
     assert!(world.progress(*key, 1), "its first token");
     assert!(!world.progress(*key, 2), "not its first token");
@@ -64,38 +64,38 @@
     };
     let target = if upstream == "e1" { "e2" } else { "e1" };
     world.relocate(NOW, *key, target);
-    assert_eq!(world.own_uses(NOW)[0].loading_tokens, 0);
+    assert_eq!(world.local_uses(NOW)[0].loading_tokens, 0);
 }
 
 #[test]
 fn loading_prompt_of_peer_expires_without_further_reports() {
     let mut world = two_domains();
-    world.peer_uses(NOW, "p", HOME, &[use_of("e1", 1)]);
+    world.record_peer_uses(NOW, "p", HOME, &[use_of("e1", 1)]);
     let row = world.upstreams.get_by_id("e1").expect("a row");
-    assert!(row.loading_seconds(NOW) > 0.0);
-    assert!(row.loading_seconds(NOW + Duration::from_secs(2)).abs() < 1e-9);
+    assert!(row.prefill_seconds(NOW) > 0.0);
+    assert!(row.prefill_seconds(NOW + Duration::from_secs(2)).abs() < 1e-9);
 }
 
 #[test]
 fn domain_total_replaces_reports_of_its_vms() {
     let mut world = two_domains();
-    world.domain_uses_told(NOW, OTHER, &[use_of("e2", 7), use_of("e1", 5)]);
+    world.record_domain_uses(NOW, OTHER, &[use_of("e2", 7), use_of("e1", 5)]);
     // A domain total covers the upstreams in that domain. Its VMs report their use of upstreams
     // in other domains individually.
     assert_eq!((running(&world, "e1"), running(&world, "e2")), (0, 7));
     let reported = [use_of("e1", 2), use_of("e2", 3)];
-    world.peer_uses(NOW, "far", OTHER, &reported);
+    world.record_peer_uses(NOW, "far", OTHER, &reported);
     assert_eq!((running(&world, "e1"), running(&world, "e2")), (2, 7));
     // A newer total replaces the previous one.
-    world.domain_uses_told(NOW, OTHER, &[use_of("e2", 1)]);
+    world.record_domain_uses(NOW, OTHER, &[use_of("e2", 1)]);
     assert_eq!(running(&world, "e2"), 1);
 }
 
 #[test]
 fn own_domain_total_includes_only_its_vms() {
     let mut world = two_domains();
-    world.peer_uses(NOW, "near", HOME, &[use_of("e1", 2), use_of("e2", 1)]);
-    world.peer_uses(NOW, "far", OTHER, &[use_of("e1", 4)]);
+    world.record_peer_uses(NOW, "near", HOME, &[use_of("e1", 2), use_of("e2", 1)]);
+    world.record_peer_uses(NOW, "far", OTHER, &[use_of("e1", 4)]);
     let sum = world.domain_uses(NOW);
     let reported: Vec<_> = sum
         .iter()
@@ -107,21 +107,21 @@
 #[test]
 fn domain_total_expires_without_renewal() {
     let mut world = two_domains();
-    world.domain_uses_told(NOW, OTHER, &[use_of("e2", 7)]);
+    world.record_domain_uses(NOW, OTHER, &[use_of("e2", 7)]);
     let later = NOW + Duration::from_secs(8);
-    world.peer_uses(later, "near", HOME, &[]);
+    world.record_peer_uses(later, "near", HOME, &[]);
     assert_eq!(running(&world, "e2"), 0);
 }
 
 #[test]
 fn oldest_report_age_is_known_for_used_upstreams() {
     let mut world = two_domains();
-    world.peer_uses(NOW, "p", HOME, &[use_of("e1", 1)]);
-    world.peer_uses(2 * NOW, "q", HOME, &[use_of("e1", 1)]);
+    world.record_peer_uses(NOW, "p", HOME, &[use_of("e1", 1)]);
+    world.record_peer_uses(2 * NOW, "q", HOME, &[use_of("e1", 1)]);
     let row = world.upstreams.get_by_id("e1").expect("a row");
-    assert_eq!(row.oldest_word(3 * NOW), Some(2 * NOW));
+    assert_eq!(row.oldest_report_age(3 * NOW), Some(2 * NOW));
     let unused = world.upstreams.get_by_id("e2").expect("a row");
-    assert_eq!(unused.oldest_word(3 * NOW), None);
+    assert_eq!(unused.oldest_report_age(3 * NOW), None);
 }
 
 #[test]
@@ -146,7 +146,7 @@
         held_tokens: 8_000,
         ..use_of("e1", 3)
     };
-    world.peer_uses(NOW, "p", HOME, &[reported]);
+    world.record_peer_uses(NOW, "p", HOME, &[reported]);
     let row = world.upstreams.get_by_id("e1").expect("a row");
     assert!((row.peak_tokens(None) - 8_750.0).abs() < 1e-9);
 }
@@ -165,7 +165,7 @@
         loading_tokens: 0,
         ..use_of("p", max_running as u32)
     };
-    world.peer_uses(NOW, "far", OTHER, &[lookups]);
+    world.record_peer_uses(NOW, "far", OTHER, &[lookups]);
     let later = NOW + LOOKUP_FINISHED;
     let mut wanted = submission("r", "o", 2);
     wanted.prompt_tokens = 0;
@@ -189,7 +189,7 @@
         sender.submit(NOW, call(&format!("c{n}")));
     }
     assert_eq!(placed(&sender.tick(NOW)).len(), max_running);
-    receiver.peer_uses(NOW, "sender", HOME, &sender.own_uses(NOW));
+    receiver.record_peer_uses(NOW, "sender", HOME, &sender.local_uses(NOW));
     let immediate = receiver.submit(NOW, call("at once"));
     assert!(
         placed(&receiver.tick(NOW)).is_empty(),
--- a/trouttrack_core/tests/core/rate_limits.rs
+++ b/trouttrack_core/tests/core/rate_limits.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use std::time::Duration;
 use trouttrack_core::Time;
-use trouttrack_core::upstream::{Incarnation, RateLimit, RateShare, RateStatement, Said};
+use trouttrack_core::upstream::{Incarnation, RateLimit, RateShare, RateStatement, UpstreamNotice};
 use trouttrack_core::world::{Decision, World};
 
 /// The period over which a limit is checked.
@@ -108,19 +108,19 @@
 fn limit_ends_only_with_a_newer_response() {
     let unlimited = |asked_at| {
         let heard_at = NOW + SECOND;
-        Said::Takes(RateStatement::new(RateLimit::Unlimited, asked_at, heard_at))
+        UpstreamNotice::RateLimit(RateStatement::new(RateLimit::Unlimited, asked_at, heard_at))
     };
     let mut world = world_with_one_upstream();
-    world.hear(NOW, &incarnation(), takes(NOW, 2.0));
-    world.hear(NOW, &incarnation(), unlimited(NOW - SECOND));
+    world.receive_notice(NOW, &incarnation(), takes(NOW, 2.0));
+    world.receive_notice(NOW, &incarnation(), unlimited(NOW - SECOND));
     assert!(
         place_requests(&mut world, NOW, 20) < 4,
         "ended by an older response"
     );
-    world.hear(NOW, &incarnation(), unlimited(NOW + SECOND / 2));
+    world.receive_notice(NOW, &incarnation(), unlimited(NOW + SECOND / 2));
     assert_eq!(place_requests(&mut world, NOW + SECOND, 20), 20);
     // The upstream announces another limit, which does not apply to the next incarnation.
-    world.hear(NOW, &incarnation(), takes(NOW + 2 * SECOND, 3.0));
+    world.receive_notice(NOW, &incarnation(), takes(NOW + 2 * SECOND, 3.0));
     let later = NOW + 4 * SECOND;
     assert!(place_requests(&mut world, later, 20) < 5);
     let mut next = spec("u", "a", 0, 1_000);
@@ -132,7 +132,7 @@
 #[test]
 fn upstream_with_limit_of_zero_gets_occasional_trial_requests() {
     let mut world = world_with_one_upstream();
-    world.hear(NOW, &incarnation(), takes(NOW, 0.0));
+    world.receive_notice(NOW, &incarnation(), takes(NOW, 0.0));
     let trials = (0..600).map(|s| place_requests(&mut world, NOW + SECOND * s, 5));
     let trials: usize = trials.sum();
     assert!(
@@ -143,7 +143,8 @@
 
 #[test]
 fn extreme_limits_admit_all_or_almost_no_requests() {
-    let announce = |world: &mut World, rate| world.hear(NOW, &incarnation(), takes(NOW, rate));
+    let announce =
+        |world: &mut World, rate| world.receive_notice(NOW, &incarnation(), takes(NOW, rate));
     for huge in [1e6, f64::MAX] {
         let mut world = world_with_one_upstream();
         announce(&mut world, huge);
@@ -165,7 +166,7 @@
 fn requests_beyond_limit_are_refused_immediately() {
     const REQUESTS: usize = 100;
     let mut world = world_with_one_upstream();
-    world.hear(NOW, &incarnation(), takes(NOW, 2.0));
+    world.receive_notice(NOW, &incarnation(), takes(NOW, 2.0));
     for _ in 0..REQUESTS {
         let mut wanted = submission("r", "o", 1);
         wanted.prompt_tokens = 0;
--- a/trouttrack_core/tests/core/relocate.rs
+++ b/trouttrack_core/tests/core/relocate.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 use trouttrack_core::fleet::EngineSpec;
 use trouttrack_core::rescue::Departure;
-use trouttrack_core::upstream::Spec;
+use trouttrack_core::upstream::UpstreamSpec;
 use trouttrack_core::world::{RequestKey, World};
 
 const NOW: Duration = Duration::from_secs(1);
 
-fn engine(id: &str, failure_domain: &str, capacity_tokens: u64) -> Spec {
+fn engine(id: &str, failure_domain: &str, capacity_tokens: u64) -> UpstreamSpec {
     spec(id, failure_domain, capacity_tokens, 8)
 }
 
@@ -34,7 +34,7 @@
     };
     world.configure(all(50_000));
     let target = |world: &World, avoid: &[String]| {
-        let target = world.target(NOW, key, "a", avoid);
+        let target = world.move_target(NOW, key, "a", avoid);
         target.map(|t| t.upstream)
     };
     assert_eq!(target(&world, &[]).as_deref(), Some("near"));
@@ -54,7 +54,7 @@
         engine("other", "a", 50_000),
     ]);
     world.relocate(NOW, key, "other");
-    let uses = world.own_uses(NOW);
+    let uses = world.local_uses(NOW);
     let [used] = uses.as_slice() else {
         panic!("{uses:?}");
     };
@@ -62,7 +62,7 @@
     // The request also ends if the source has been removed in the meantime.
     world.configure(vec![engine("other", "a", 50_000)]);
     world.ended(NOW, key, false, Some(10));
-    assert!(world.own_uses(NOW).is_empty());
+    assert!(world.local_uses(NOW).is_empty());
 }
 
 fn ms(ms: u64) -> Duration {
@@ -148,8 +148,14 @@
 fn room_counts_open_engines_of_the_failure_domain() {
     let (mut world, _) = running();
     world.configure(vec![engine("one", "a", 5000), engine("two", "b", 7000)]);
-    assert_eq!(world.room_near(NOW, crate::support::SERVICE, "a"), 5000.0);
+    assert_eq!(
+        world.free_tokens_in_domain(NOW, crate::support::SERVICE, "a"),
+        5000.0
+    );
     world.set_leaving("one", true);
-    assert_eq!(world.room_near(NOW, crate::support::SERVICE, "a"), 0.0);
-    assert_eq!(world.room_near(NOW, "other", "b"), 0.0);
+    assert_eq!(
+        world.free_tokens_in_domain(NOW, crate::support::SERVICE, "a"),
+        0.0
+    );
+    assert_eq!(world.free_tokens_in_domain(NOW, "other", "b"), 0.0);
 }
--- a/trouttrack_core/tests/core/support.rs
+++ b/trouttrack_core/tests/core/support.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 use trouttrack_core::length::LengthKey;
-use trouttrack_core::upstream::{Report, Spec};
+use trouttrack_core::upstream::{LoadReport, UpstreamSpec};
 use trouttrack_core::world::{Decision, RequestKey, Submission, World, WorldSettings};
 
 pub(crate) const SERVICE: &str = "s";
@@ -23,20 +23,25 @@
     }
 }
 
-pub(crate) fn spec(id: &str, domain: &str, capacity_tokens: u64, max_running: usize) -> Spec {
-    Spec {
+pub(crate) fn spec(
+    id: &str,
+    domain: &str,
+    capacity_tokens: u64,
+    max_running: usize,
+) -> UpstreamSpec {
+    UpstreamSpec {
         id: id.into(),
         failure_domain: domain.into(),
         services: vec![SERVICE.into()],
         capacity_tokens,
         max_running,
-        warm_at: Duration::ZERO,
+        warm_up_ends_at: Duration::ZERO,
         born: 0,
         cold_rate: 0.0,
     }
 }
 
-pub(crate) fn world(policy: &str, specs: Vec<Spec>) -> World {
+pub(crate) fn world(policy: &str, specs: Vec<UpstreamSpec>) -> World {
     let mut world = World::new(settings(policy));
     world.configure(specs);
     world
@@ -67,8 +72,8 @@
     decisions.iter().filter_map(place).collect()
 }
 
-pub(crate) fn report(at: Duration, running: usize, used_tokens: u64) -> Report {
-    Report {
+pub(crate) fn report(at: Duration, running: usize, used_tokens: u64) -> LoadReport {
+    LoadReport {
         at,
         running,
         waiting: 0,
--- a/trouttrack_core/tests/core/upstream_notices.rs
+++ b/trouttrack_core/tests/core/upstream_notices.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use std::time::Duration;
 use trouttrack_core::Time;
-use trouttrack_core::upstream::{Incarnation, LONGEST_PAUSE, Said, Words};
+use trouttrack_core::upstream::{Incarnation, MAX_PAUSE, UpstreamNotice, UpstreamNotices};
 use trouttrack_core::world::{Decision, NotRunReason, World};
 
 const NOW: Time = Duration::from_secs(100);
@@ -36,7 +36,7 @@
     let mut world = world_with_two_upstreams(0);
     // The local upstream is preferred while nothing is running.
     assert_eq!(place_request(&mut world, NOW).as_deref(), Some("e1"));
-    assert!(world.hear(NOW, &incarnation(0), Said::Rests(3 * SECOND)));
+    assert!(world.receive_notice(NOW, &incarnation(0), UpstreamNotice::Pause(3 * SECOND)));
     for ms in [0, 500, 2_999] {
         let at = NOW + Duration::from_millis(ms);
         assert_eq!(
@@ -49,7 +49,7 @@
         place_request(&mut world, NOW + 3 * SECOND).as_deref(),
         Some("e1")
     );
-    world.hear(NOW, &incarnation(0), Said::Leaves);
+    world.receive_notice(NOW, &incarnation(0), UpstreamNotice::Leaving);
     for seconds in [0, 10, 10_000] {
         let at = NOW + SECOND * seconds;
         assert_eq!(place_request(&mut world, at).as_deref(), Some("e2"));
@@ -58,29 +58,49 @@
 
 #[test]
 fn shorter_pause_does_not_end_longer_pause() {
-    let mut words = Words::default();
-    assert!(words.hear(NOW, &incarnation(1), Said::Rests(3 * SECOND)));
-    assert!(!words.hear(NOW + SECOND, &incarnation(1), Said::Rests(SECOND)));
-    assert!(!words.of(&incarnation(1)).wants_work(NOW + 2 * SECOND));
-    assert!(words.hear(NOW + SECOND, &incarnation(1), Said::Rests(5 * SECOND)));
-    assert!(!words.of(&incarnation(1)).wants_work(NOW + 5 * SECOND));
-    assert!(words.of(&incarnation(1)).wants_work(NOW + 6 * SECOND));
+    let mut notices = UpstreamNotices::default();
+    assert!(notices.receive(NOW, &incarnation(1), UpstreamNotice::Pause(3 * SECOND)));
+    assert!(!notices.receive(NOW + SECOND, &incarnation(1), UpstreamNotice::Pause(SECOND)));
+    assert!(
+        !notices
+            .availability(&incarnation(1))
+            .accepts_requests(NOW + 2 * SECOND)
+    );
+    assert!(notices.receive(
+        NOW + SECOND,
+        &incarnation(1),
+        UpstreamNotice::Pause(5 * SECOND)
+    ));
+    assert!(
+        !notices
+            .availability(&incarnation(1))
+            .accepts_requests(NOW + 5 * SECOND)
+    );
+    assert!(
+        notices
+            .availability(&incarnation(1))
+            .accepts_requests(NOW + 6 * SECOND)
+    );
 }
 
 #[test]
 fn pause_is_capped() {
-    let mut words = Words::default();
-    words.hear(NOW, &incarnation(1), Said::Rests(Duration::MAX));
-    assert!(words.of(&incarnation(1)).wants_work(NOW + LONGEST_PAUSE));
+    let mut notices = UpstreamNotices::default();
+    notices.receive(NOW, &incarnation(1), UpstreamNotice::Pause(Duration::MAX));
+    assert!(
+        notices
+            .availability(&incarnation(1))
+            .accepts_requests(NOW + MAX_PAUSE)
+    );
 }
 
 #[test]
 fn notices_of_earlier_incarnation_do_not_apply_to_next() {
     let mut world = world_with_two_upstreams(2);
-    world.hear(NOW, &incarnation(1), Said::Leaves);
+    world.receive_notice(NOW, &incarnation(1), UpstreamNotice::Leaving);
     assert_eq!(place_request(&mut world, NOW).as_deref(), Some("e1"));
-    world.hear(NOW, &incarnation(2), Said::Rests(SECOND));
-    world.hear(NOW, &incarnation(1), Said::Leaves);
+    world.receive_notice(NOW, &incarnation(2), UpstreamNotice::Pause(SECOND));
+    world.receive_notice(NOW, &incarnation(1), UpstreamNotice::Leaving);
     assert_eq!(
         place_request(&mut world, NOW + SECOND).as_deref(),
         Some("e1")
@@ -90,7 +110,7 @@
 #[test]
 fn recreated_row_keeps_notices() {
     let mut world = world_with_two_upstreams(1);
-    world.hear(NOW, &incarnation(1), Said::Leaves);
+    world.receive_notice(NOW, &incarnation(1), UpstreamNotice::Leaving);
     let first = || {
         let mut first = spec("e1", "a", 0, 8);
         first.born = 1;
@@ -113,7 +133,11 @@
     let mut world = world_with_two_upstreams(0);
     let incarnations = [incarnation(0), Incarnation::new("e2", 0)];
     for (n, incarnation) in incarnations.iter().enumerate() {
-        world.hear(NOW, incarnation, Said::Rests(SECOND * (n as u32 + 2)));
+        world.receive_notice(
+            NOW,
+            incarnation,
+            UpstreamNotice::Pause(SECOND * (n as u32 + 2)),
+        );
     }
     let mut short_deadline = submission("short_deadline", "o", 1);
     short_deadline.deadline = NOW + SECOND;
@@ -123,7 +147,7 @@
     let long_deadline = world.submit(NOW, long_deadline);
     let refused = Decision::Refuse {
         request: short_deadline,
-        reason: NotRunReason::Resting,
+        reason: NotRunReason::UpstreamPaused,
         retry_after: 2 * SECOND,
     };
     assert_eq!(world.tick(NOW), [refused]);
@@ -133,23 +157,31 @@
 
 #[test]
 fn old_notices_of_unlisted_upstreams_are_removed() {
-    let mut words = Words::default();
+    let mut notices = UpstreamNotices::default();
     for n in 0..100 {
-        words.hear(NOW, &Incarnation::new(&format!("e{n}"), 1), Said::Leaves);
+        notices.receive(
+            NOW,
+            &Incarnation::new(&format!("e{n}"), 1),
+            UpstreamNotice::Leaving,
+        );
     }
     let listed = |incarnation: &Incarnation| incarnation.id == "e7";
-    words.forget(NOW + SECOND, listed);
-    assert_eq!(words.len(), 100);
-    words.forget(NOW + LONGEST_PAUSE, listed);
-    assert_eq!(words.len(), 1);
-    assert!(words.of(&Incarnation::new("e7", 1)).leaves());
+    notices.forget(NOW + SECOND, listed);
+    assert_eq!(notices.len(), 100);
+    notices.forget(NOW + MAX_PAUSE, listed);
+    assert_eq!(notices.len(), 1);
+    assert!(
+        notices
+            .availability(&Incarnation::new("e7", 1))
+            .is_leaving()
+    );
 }
 
 /// A randomly generated event of an upstream.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     /// The incarnation with this number sends a notice, possibly late or repeated.
-    Notice(u64, Said),
+    Notice(u64, UpstreamNotice),
     /// The store lists this incarnation, possibly again.
     Listed(u64),
     /// It is no longer listed.
@@ -161,12 +193,12 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let said = prop_oneof![
-        Just(Said::Leaves),
-        (1u64..4_000).prop_map(|ms| Said::Rests(Duration::from_millis(ms))),
+    let notice = prop_oneof![
+        Just(UpstreamNotice::Leaving),
+        (1u64..4_000).prop_map(|ms| UpstreamNotice::Pause(Duration::from_millis(ms))),
     ];
     prop_oneof![
-        (1u64..4, said).prop_map(|(incarnation, said)| Step::Notice(incarnation, said)),
+        (1u64..4, notice).prop_map(|(incarnation, notice)| Step::Notice(incarnation, notice)),
         (1u64..4).prop_map(Step::Listed),
         Just(Step::Gone),
         Just(Step::Configured),
@@ -195,16 +227,16 @@
         let mut now = NOW;
         for step in steps {
             match step {
-                Step::Notice(born, said) => {
-                    world.hear(now, &incarnation(born), said);
+                Step::Notice(born, notice) => {
+                    world.receive_notice(now, &incarnation(born), notice);
                     let model = &mut models[born as usize];
-                    match said {
-                        Said::Leaves => model.leaves = true,
-                        Said::Rests(pause) => {
+                    match notice {
+                        UpstreamNotice::Leaving => model.leaves = true,
+                        UpstreamNotice::Pause(pause) => {
                             model.rests_until = model.rests_until.max(now + pause);
                         }
                         // Rate limits do not stop requests for good; see `rate_limits`.
-                        Said::Takes(_) => {}
+                        UpstreamNotice::RateLimit(_) => {}
                     }
                 }
                 Step::Listed(born) => {
--- a/trouttrack_core/tests/core/upstream_table.rs
+++ b/trouttrack_core/tests/core/upstream_table.rs
@@ -4,12 +4,12 @@
 use proptest::prelude::*;
 use std::time::Duration;
 use trouttrack_core::membership::UpstreamUse;
-use trouttrack_core::upstream::{Spec, UpstreamTable};
+use trouttrack_core::upstream::{UpstreamSpec, UpstreamTable};
 
 const HOME: &str = "a";
 const SECOND: Duration = Duration::from_secs(1);
 
-fn named(number: u8, far: bool) -> Spec {
+fn named(number: u8, far: bool) -> UpstreamSpec {
     let domain = if far { "b" } else { HOME };
     spec(&format!("e{number:02}"), domain, 1000, 4)
 }
@@ -79,19 +79,19 @@
 #[test]
 fn use_no_longer_reported_by_peers_is_not_counted() {
     let mut world = world("trouttrack", vec![named(1, false), named(2, false)]);
-    world.peer_uses(SECOND, "p", HOME, &[running("e01", 3)]);
-    world.peer_uses(SECOND, "q", HOME, &[running("e01", 2)]);
+    world.record_peer_uses(SECOND, "p", HOME, &[running("e01", 3)]);
+    world.record_peer_uses(SECOND, "q", HOME, &[running("e01", 2)]);
     let count = |world: &trouttrack_core::world::World, id: &str| {
         let key = world.upstreams.key(id).expect("a row");
         let row = world.upstreams.get(key).expect("a row");
         row.estimated_running()
     };
     assert_eq!(count(&world, "e01"), 5);
-    world.peer_uses(2 * SECOND, "p", HOME, &[running("e02", 1)]);
+    world.record_peer_uses(2 * SECOND, "p", HOME, &[running("e02", 1)]);
     assert_eq!((count(&world, "e01"), count(&world, "e02")), (2, 1));
     // From here on only p sends reports.
     for second in 3..9 {
-        world.peer_uses(second * SECOND, "p", HOME, &[running("e02", 1)]);
+        world.record_peer_uses(second * SECOND, "p", HOME, &[running("e02", 1)]);
     }
     assert_eq!((count(&world, "e01"), count(&world, "e02")), (0, 1));
 }
@@ -106,15 +106,18 @@
 
 fn is_open(world: &trouttrack_core::world::World, id: &str, now: Duration) -> bool {
     let key = world.upstreams.key(id).expect("a row");
-    world.upstreams.get(key).is_some_and(|u| u.open(now))
+    world
+        .upstreams
+        .get(key)
+        .is_some_and(|u| u.is_available(now))
 }
 
 #[test]
 fn upstream_is_suspected_briefly_after_losses_at_two_vms() {
     let mut world = world("trouttrack", vec![named(1, false)]);
-    world.peer_uses(SECOND, "p", HOME, &lost("e01", 0));
+    world.record_peer_uses(SECOND, "p", HOME, &lost("e01", 0));
     assert!(is_open(&world, "e01", SECOND));
-    world.peer_uses(SECOND, "q", HOME, &lost("e01", 100));
+    world.record_peer_uses(SECOND, "q", HOME, &lost("e01", 100));
     assert!(!is_open(&world, "e01", SECOND));
     assert!(is_open(&world, "e01", 2 * SECOND));
 }
@@ -130,18 +133,18 @@
     let request = place(&mut world);
     world.lost(SECOND, request);
     world.ended(SECOND, request, true, None);
-    world.peer_uses(SECOND, "p", HOME, &lost("e01", 50));
+    world.record_peer_uses(SECOND, "p", HOME, &lost("e01", 50));
     assert!(!is_open(&world, "e01", SECOND));
     // Its own report to peers.
-    assert_eq!(world.own_uses(SECOND)[0].lost_ms, Some(0));
+    assert_eq!(world.local_uses(SECOND)[0].lost_ms, Some(0));
     let later = SECOND + Duration::from_millis(600);
-    assert!(world.own_uses(later).is_empty());
+    assert!(world.local_uses(later).is_empty());
     // After an answered request, earlier losses of peers do not count.
     let request = world.submit(later, submission("r2", "o", 1));
     world.tick(later);
     world.ended(later, request, false, Some(1));
-    world.peer_uses(later, "p", HOME, &lost("e01", 50));
-    world.peer_uses(later, "q", HOME, &lost("e01", 50));
+    world.record_peer_uses(later, "p", HOME, &lost("e01", 50));
+    world.record_peer_uses(later, "q", HOME, &lost("e01", 50));
     assert!(is_open(&world, "e01", later));
 }
 
@@ -149,7 +152,7 @@
 fn losses_at_peers_of_another_domain_do_not_count() {
     let mut world = world("trouttrack", vec![named(1, false)]);
     for peer in ["p", "q", "r"] {
-        world.peer_uses(SECOND, peer, "b", &lost("e01", 0));
+        world.record_peer_uses(SECOND, peer, "b", &lost("e01", 0));
     }
     assert!(is_open(&world, "e01", SECOND));
 }
--- a/trouttrack_core/tests/core/world.rs
+++ b/trouttrack_core/tests/core/world.rs
@@ -28,7 +28,7 @@
 fn a_starting_upstream_gets_work_once_warm() {
     let warm = spec("a-warm", "a", 10_000, 8);
     let mut cold = spec("b-cold", "a", 10_000, 8);
-    cold.warm_at = 5 * SECOND;
+    cold.warm_up_ends_at = 5 * SECOND;
     let mut world = world("trouttrack", vec![warm, cold]);
     let mut placed_at = |now: Duration| {
         let request = world.submit(now, submission("r", "o", 1));
@@ -356,7 +356,7 @@
             handovers: 0,
             recent_handovers: 0,
         }];
-        world.peer_uses(Duration::ZERO, "g2", "a", &uses);
+        world.record_peer_uses(Duration::ZERO, "g2", "a", &uses);
         world.submit(loaded_for, submission("r1", "alpha", 1));
         (first, placed(&world.tick(loaded_for))[0].1.clone())
     };
@@ -427,7 +427,7 @@
     run_one(&mut world, true, None);
     let open = |world: &World| {
         let row = world.upstreams.get_by_id("e1").expect("a row");
-        row.open(SECOND)
+        row.is_available(SECOND)
     };
     assert!(
         !open(&world),
--- a/trouttrack_front/src/follow/upstreams.rs
+++ b/trouttrack_front/src/follow/upstreams.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use trouttrack_core::membership::Revision;
 use trouttrack_core::rescue::Departure;
-use trouttrack_core::upstream::Said;
+use trouttrack_core::upstream::UpstreamNotice;
 use trouttrack_platform::{Change, EntryError, Kind, Object, UpstreamEntry};
 use trouttrack_telemetry::{events, record};
 
@@ -312,11 +312,16 @@
         remove(front, &before);
     }
     if let Some(leaving) = seen.leaves {
-        front.scheduler.hear(&leaving.incarnation(), Said::Leaves);
+        front
+            .scheduler
+            .receive_notice(&leaving.incarnation(), UpstreamNotice::Leaving);
         depart(front, &leaving);
     }
     if let Some(upstream) = front.upstreams.get(id)
-        && front.scheduler.word_of(&upstream.incarnation()).leaves()
+        && front
+            .scheduler
+            .availability_of(&upstream.incarnation())
+            .is_leaving()
     {
         // It is listed anew in the life in which it has said so.
         said_leaving(front, &upstream, Departure::noticed(front.clock.now()));
@@ -402,6 +407,6 @@
         }
         expire_lost_evacuations(&front);
         front.http.sweep();
-        front.scheduler.forget_words();
+        front.scheduler.expire_notices();
     }
 }
--- a/trouttrack_front/src/follow/words.rs
+++ b/trouttrack_front/src/follow/words.rs
@@ -10,7 +10,9 @@
 use std::rc::Rc;
 use trouttrack_core::Time;
 use trouttrack_core::rescue::Departure;
-use trouttrack_core::upstream::{Incarnation, RateLimit, RateStatement, Said, ToldLimit};
+use trouttrack_core::upstream::{
+    Incarnation, RateLimit, RateStatement, ReportedLimit, UpstreamNotice,
+};
 use trouttrack_platform::{AnswerHead, EngineReport, OwnWord};
 use trouttrack_telemetry::{events, record};
 
@@ -84,11 +86,14 @@
 }
 
 /// A peer has told of limits that upstreams named, or that have ended.
-pub(crate) fn heard_from_peer(front: &Front, peer: &str, limits: &[ToldLimit]) {
+pub(crate) fn heard_from_peer(front: &Front, peer: &str, limits: &[ReportedLimit]) {
     let now = front.clock.now();
     for limit in limits {
         let statement = limit.statement(now);
-        if !front.scheduler.hear(&limit.life, Said::Takes(statement)) {
+        if !front
+            .scheduler
+            .receive_notice(&limit.life, UpstreamNotice::RateLimit(statement))
+        {
             continue;
         }
         let told = Told {
@@ -114,16 +119,20 @@
         return;
     }
     let life = upstream.incarnation();
-    let hear = |said| front.scheduler.hear(&life, said);
+    let hear = |notice| front.scheduler.receive_notice(&life, notice);
     let limit_changed = told.word.rate_limit.is_some_and(|limit| {
         let now = front.clock.now();
-        hear(Said::Takes(RateStatement::new(limit, told.asked_at, now)))
+        hear(UpstreamNotice::RateLimit(RateStatement::new(
+            limit,
+            told.asked_at,
+            now,
+        )))
     });
     let rests = told
         .word
         .pause
-        .is_some_and(|pause| hear(Said::Rests(pause)));
-    let leaving = told.word.leaving && hear(Said::Leaves);
+        .is_some_and(|pause| hear(UpstreamNotice::Pause(pause)));
+    let leaving = told.word.leaving && hear(UpstreamNotice::Leaving);
     if rests || leaving || limit_changed {
         record(front, &life, told);
     }
--- a/trouttrack_front/src/peers/heartbeat.rs
+++ b/trouttrack_front/src/peers/heartbeat.rs
@@ -22,7 +22,7 @@
 use trouttrack_core::membership::{
     CHANGED_LIMIT_TOLD, Digest, FAR_TOLD, NEAR_TOLD, UpstreamUse, tells_sums,
 };
-use trouttrack_core::upstream::{RateShare, ToldLimit};
+use trouttrack_core::upstream::{RateShare, ReportedLimit};
 
 /// Pause after a placement or a loss before it is told, for until then others choose
 /// the same upstream; several are told together.
@@ -119,7 +119,7 @@
 /// 50,883 without.
 fn send_load(front: &Front, socket: &UdpSocket) {
     let everyone = !is_large(front);
-    let uses = front.scheduler.own_uses();
+    let uses = front.scheduler.local_uses();
     let limits = front.scheduler.limits(Some(CHANGED_LIMIT_TOLD));
     let domains = domains_of(front, &uses, &limits);
     let concerned = |domain: &str| {
@@ -139,7 +139,7 @@
 }
 
 /// Where the upstreams stand that are used, or whose limits have changed.
-fn domains_of(front: &Front, uses: &[UpstreamUse], limits: &[ToldLimit]) -> Vec<FailureDomain> {
+fn domains_of(front: &Front, uses: &[UpstreamUse], limits: &[ReportedLimit]) -> Vec<FailureDomain> {
     let used = uses.iter().map(|u| &u.upstream);
     let named = used.chain(limits.iter().map(|limit| &limit.life.id));
     let known = named.filter_map(|id| front.upstreams.get(id));
@@ -182,7 +182,7 @@
             config_version: front.routing.version(),
             draining: front.lifecycle.is_stopping(),
             in_flight: front.lifecycle.in_flight() as u32,
-            uses: front.scheduler.own_uses(),
+            uses: front.scheduler.local_uses(),
             ..Digest::default()
         },
         echo: None,
--- a/trouttrack_front/src/peers/listen.rs
+++ b/trouttrack_front/src/peers/listen.rs
@@ -82,11 +82,11 @@
         Err(e) => log::debug!("{}: address `{}`: {e}", digest.name, digest.rpc_addr),
     }
     let (name, domain) = (&digest.name, &digest.failure_domain);
-    front.scheduler.peer_uses(name, domain, &digest.uses);
+    front.scheduler.record_peer_uses(name, domain, &digest.uses);
     if *domain != front.failure_domain && !heartbeat.domain_uses.is_empty() {
         front
             .scheduler
-            .domain_uses_told(domain, &heartbeat.domain_uses);
+            .record_domain_uses(domain, &heartbeat.domain_uses);
     }
     // A peer that has not listed the upstreams yet reports the default revision.
     if heartbeat.upstreams_revision > Revision::default() {
@@ -110,6 +110,8 @@
 fn hear_load(front: &Front, load: &Load) {
     follow::heard_from_peer(front, &load.name, &load.limits);
     if let Some(domain) = front.peers.hear_load(front.clock.now(), load) {
-        front.scheduler.peer_uses(&load.name, &domain, &load.uses);
+        front
+            .scheduler
+            .record_peer_uses(&load.name, &domain, &load.uses);
     }
 }
--- a/trouttrack_front/src/peers/message.rs
+++ b/trouttrack_front/src/peers/message.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use trouttrack_core::membership::{Digest, Evacuations, Revision, UpstreamUse};
 use trouttrack_core::quarantine::Suspect;
-use trouttrack_core::upstream::ToldLimit;
+use trouttrack_core::upstream::ReportedLimit;
 use trouttrack_core::{ConfigVersion, UpstreamId};
 use trouttrack_platform::UpstreamEntry;
 
@@ -69,7 +69,7 @@
     /// A sum over the requests that are held there.
     pub(super) suspects: u64,
     /// The limits that upstreams have named, as far as it knows.
-    pub(super) limits: Vec<ToldLimit>,
+    pub(super) limits: Vec<ReportedLimit>,
 }
 
 /// How long ago a VM's configuration was confirmed.
@@ -93,7 +93,7 @@
     /// Its use of upstreams.
     pub(super) uses: Vec<UpstreamUse>,
     /// The limits that upstreams have named lately, as far as it knows.
-    pub(super) limits: Vec<ToldLimit>,
+    pub(super) limits: Vec<ReportedLimit>,
 }
 
 /// Names a numbered datagram.
--- a/trouttrack_front/src/request/attempt.rs
+++ b/trouttrack_front/src/request/attempt.rs
@@ -162,7 +162,7 @@
     };
     let goes_on = to.continue_from.is_some();
     let sent_at = front.clock.now();
-    let still = || goes_on || front.scheduler.wants_work(&upstream.id);
+    let still = || goes_on || front.scheduler.accepts_requests(&upstream.id);
     let sent = front.http.send_if(upstream.addr, req, reuse, still).await;
     let answer = sent.map_err(|e| failed(&e))?;
     let head = AnswerHead::decode(&answer.head);
--- a/trouttrack_front/src/request/end.rs
+++ b/trouttrack_front/src/request/end.rs
@@ -4,7 +4,7 @@
 use crate::state::{Front, Refusal};
 use std::time::Duration;
 use trouttrack_core::quarantine::Hold;
-use trouttrack_core::upstream::LONGEST_PAUSE;
+use trouttrack_core::upstream::MAX_PAUSE;
 use trouttrack_core::world::NotRunReason;
 use trouttrack_core::{Outcome, Time};
 use trouttrack_telemetry::{events, record};
@@ -47,12 +47,12 @@
             NotRunReason::Unreachable => "no upstream can be reached in time",
             NotRunReason::RetryBudget => "the retry budget is used up",
             NotRunReason::RateLimited => "every upstream takes few requests a second",
-            NotRunReason::Resting => "every upstream has asked for a pause",
+            NotRunReason::UpstreamPaused => "every upstream has asked for a pause",
             _ => "refused",
         };
         // A pause is known to its end: who comes back sooner is refused once more.
         let at_most = match refusal.reason {
-            NotRunReason::Resting => LONGEST_PAUSE,
+            NotRunReason::UpstreamPaused => MAX_PAUSE,
             _ => COME_BACK_AT_MOST,
         };
         Self::NotRun {
--- a/trouttrack_front/src/request/stream/relay.rs
+++ b/trouttrack_front/src/request/stream/relay.rs
@@ -152,7 +152,7 @@
             return self.go_on(source, moved, ticket).await;
         }
         let failure = AttemptFailure::new(Failure::Lost, STREAM_BROKE_OFF);
-        let wants = |b: &Rc<Upstream>| self.front.scheduler.wants_work(&b.id);
+        let wants = |b: &Rc<Upstream>| self.front.scheduler.accepts_requests(&b.id);
         match source.backup.take().filter(wants) {
             Some(target) => {
                 self.learn_failed(&source.upstream, &failure).await;
--- a/trouttrack_front/src/rescue/ask.rs
+++ b/trouttrack_front/src/rescue/ask.rs
@@ -37,7 +37,7 @@
 fn may_leave(front: &Front, upstream: &Upstream) -> bool {
     let table = front.routing.table();
     let engine = table.and_then(|t| t.service(&upstream.service)?.engine.clone());
-    engine.is_some_and(|e| e.moves) && front.scheduler.wants_work(&upstream.id)
+    engine.is_some_and(|e| e.moves) && front.scheduler.accepts_requests(&upstream.id)
 }
 
 async fn ask(front: Rc<Front>, upstream: Rc<Upstream>) {
--- a/trouttrack_front/src/rescue/observe.rs
+++ b/trouttrack_front/src/rescue/observe.rs
@@ -42,7 +42,7 @@
 ) {
     let held: u64 = report.generations.iter().map(|(_, tokens)| tokens).sum();
     let (service, home) = (&upstream.service, &upstream.failure_domain);
-    let near_room = front.scheduler.room_near(service, home);
+    let near_room = front.scheduler.free_tokens_in_domain(service, home);
     let now = front.clock.now();
     upstream.update_departure(|departure| {
         if let Some(left) = report.leaves_in {
--- a/trouttrack_front/src/state/scheduler.rs
+++ b/trouttrack_front/src/state/scheduler.rs
@@ -10,7 +10,8 @@
 use trouttrack_core::UpstreamId;
 use trouttrack_core::membership::{Evacuations, LIMITS_TOLD, UpstreamUse};
 use trouttrack_core::upstream::{
-    Incarnation, RateLimit, RateShare, Said, Spec, ToldLimit, Upstream, Word,
+    Availability, Incarnation, RateLimit, RateShare, ReportedLimit, Upstream, UpstreamNotice,
+    UpstreamSpec,
 };
 use trouttrack_core::world::{
     Decision, NotRunReason, RequestKey, Submission, World, WorldSettings,
@@ -118,8 +119,8 @@
         Placed {
             fill: row.map_or(0.0, |u| u.fill_with(None)),
             running: row.map_or(0, Upstream::estimated_running),
-            loading: row.map_or(Duration::ZERO, |u| u.loading_before(now, own_prompt)),
-            known: row.and_then(|u| u.oldest_word(now)),
+            loading: row.map_or(Duration::ZERO, |u| u.prefill_wait(now, own_prompt)),
+            known: row.and_then(|u| u.oldest_report_age(now)),
             upstream,
             ticket,
         }
@@ -161,13 +162,13 @@
     }
 
     /// Takes the upstreams that requests may be sent to.
-    pub fn configure(&self, specs: Vec<Spec>) {
+    pub fn configure(&self, specs: Vec<UpstreamSpec>) {
         self.world.borrow_mut().configure(specs);
         self.tick();
     }
 
     /// Takes one upstream, or what is new of it.
-    pub fn put_upstream(&self, spec: Spec) {
+    pub fn put_upstream(&self, spec: UpstreamSpec) {
         self.world.borrow_mut().put_upstream(spec);
     }
 
@@ -187,9 +188,9 @@
     }
 
     /// Takes in what an upstream says of itself. Returns whether that is news.
-    pub fn hear(&self, life: &Incarnation, said: Said) -> bool {
+    pub fn receive_notice(&self, life: &Incarnation, notice: UpstreamNotice) -> bool {
         let now = self.clock.now();
-        self.world.borrow_mut().hear(now, life, said)
+        self.world.borrow_mut().receive_notice(now, life, notice)
     }
 
     /// The requests that an upstream takes from all VMs together.
@@ -197,13 +198,13 @@
     pub fn rate_limit(&self, upstream: &str) -> RateLimit {
         let world = self.world.borrow();
         let row = world.upstreams.get_by_id(upstream);
-        row.map_or(RateLimit::Unlimited, Upstream::named_limit)
+        row.map_or(RateLimit::Unlimited, Upstream::announced_limit)
     }
 
     /// The limits of upstreams that other VMs are to hear of, or those that have changed
     /// within a time.
     #[must_use]
-    pub fn limits(&self, changed_within: Option<Duration>) -> Vec<ToldLimit> {
+    pub fn limits(&self, changed_within: Option<Duration>) -> Vec<ReportedLimit> {
         let now = self.clock.now();
         let after = changed_within.map_or(Duration::ZERO, |time| now.saturating_sub(time));
         let mut limits = self.world.borrow().limits(now, after);
@@ -213,21 +214,21 @@
 
     /// What a life of an upstream has said of itself.
     #[must_use]
-    pub fn word_of(&self, life: &Incarnation) -> Word {
-        self.world.borrow().word_of(life)
+    pub fn availability_of(&self, life: &Incarnation) -> Availability {
+        self.world.borrow().availability_of(life)
     }
 
     /// Forgets what was said long ago by upstreams that are listed no more.
-    pub fn forget_words(&self) {
-        self.world.borrow_mut().forget_words(self.clock.now());
+    pub fn expire_notices(&self) {
+        self.world.borrow_mut().expire_notices(self.clock.now());
     }
 
     /// Whether an upstream is to get new work, by its own word and that of operators.
     #[must_use]
-    pub fn wants_work(&self, upstream: &str) -> bool {
+    pub fn accepts_requests(&self, upstream: &str) -> bool {
         let world = self.world.borrow();
         let row = world.upstreams.get_by_id(upstream);
-        row.is_some_and(|u| u.wants_work(self.clock.now()))
+        row.is_some_and(|u| u.accepts_requests(self.clock.now()))
     }
 
     /// Takes what this VM may use of a rate that is bounded over all VMs.
@@ -242,18 +243,18 @@
     }
 
     /// Takes in what a peer says of its use of upstreams.
-    pub fn peer_uses(&self, peer: &str, failure_domain: &str, uses: &[UpstreamUse]) {
+    pub fn record_peer_uses(&self, peer: &str, failure_domain: &str, uses: &[UpstreamUse]) {
         let now = self.clock.now();
         self.world
             .borrow_mut()
-            .peer_uses(now, peer, failure_domain, uses);
+            .record_peer_uses(now, peer, failure_domain, uses);
     }
 
     /// Takes in what a failure domain's VMs together use of its upstreams.
-    pub fn domain_uses_told(&self, failure_domain: &str, uses: &[UpstreamUse]) {
+    pub fn record_domain_uses(&self, failure_domain: &str, uses: &[UpstreamUse]) {
         let now = self.clock.now();
         let mut world = self.world.borrow_mut();
-        world.domain_uses_told(now, failure_domain, uses);
+        world.record_domain_uses(now, failure_domain, uses);
     }
 
     /// What the own failure domain's VMs together use of its upstreams.
@@ -264,15 +265,15 @@
 
     /// The own use of upstreams.
     #[must_use]
-    pub fn own_uses(&self) -> Vec<UpstreamUse> {
-        self.world.borrow().own_uses(self.clock.now())
+    pub fn local_uses(&self) -> Vec<UpstreamUse> {
+        self.world.borrow().local_uses(self.clock.now())
     }
 
     /// Tokens of memory that other upstreams of a failure domain have room for.
     #[must_use]
-    pub fn room_near(&self, service: &str, failure_domain: &str) -> f64 {
+    pub fn free_tokens_in_domain(&self, service: &str, failure_domain: &str) -> f64 {
         let world = self.world.borrow();
-        world.room_near(self.clock.now(), service, failure_domain)
+        world.free_tokens_in_domain(self.clock.now(), service, failure_domain)
     }
 
     /// Whether an upstream may be given work now.
@@ -280,7 +281,7 @@
     pub fn is_open(&self, upstream: &str) -> bool {
         let world = self.world.borrow();
         let row = world.upstreams.get_by_id(upstream);
-        row.is_some_and(|u| u.open(self.clock.now()))
+        row.is_some_and(|u| u.is_available(self.clock.now()))
     }
 
     /// Whether requests of this VM are at an upstream.
--- a/trouttrack_front/src/state/ticket.rs
+++ b/trouttrack_front/src/state/ticket.rs
@@ -77,7 +77,7 @@
     pub fn target(&self, home: &str, avoid: &[UpstreamId]) -> Option<Target> {
         let now = self.now();
         let world = self.scheduler.world.borrow();
-        world.target(now, self.key, home, avoid)
+        world.move_target(now, self.key, home, avoid)
     }
 
     /// Tokens of memory that the generation holds.
--- a/trouttrack_front/src/state/upstreams.rs
+++ b/trouttrack_front/src/state/upstreams.rs
@@ -11,7 +11,7 @@
 use trouttrack_core::fleet::{RouteTable, ServiceSpec};
 use trouttrack_core::membership::{Entries, Revision};
 use trouttrack_core::rescue::Departure;
-use trouttrack_core::upstream::{Incarnation, Spec};
+use trouttrack_core::upstream::{Incarnation, UpstreamSpec};
 use trouttrack_core::{FailureDomain, ServiceId, Time, UpstreamId};
 use trouttrack_platform::UpstreamEntry;
 use trouttrack_telemetry::{events, record};
@@ -31,7 +31,7 @@
     pub failure_domain: FailureDomain,
     slots: usize,
     /// Until when it is slow after its start.
-    warm_at: Cell<Time>,
+    warm_up_ends_at: Cell<Time>,
     departure: watch::Sender<Option<Departure>>,
 }
 
@@ -44,7 +44,7 @@
             service: entry.service,
             failure_domain: entry.failure_domain,
             slots: entry.slots,
-            warm_at: Cell::new(now + entry.cold_for),
+            warm_up_ends_at: Cell::new(now + entry.cold_for),
             departure: watch::Sender::new(None),
         }
     }
@@ -64,7 +64,7 @@
     /// How much longer it is slow after its start.
     #[must_use]
     pub fn cold_for(&self, now: Time) -> Duration {
-        self.warm_at.get().saturating_sub(now)
+        self.warm_up_ends_at.get().saturating_sub(now)
     }
 
     /// Whether an entry is one of this life.
@@ -263,7 +263,7 @@
     /// Notes for how long a known upstream is cold: it may turn cold at any time, and
     /// warm before its time.
     fn note_cold(&self, upstream: &Upstream, cold_for: Duration) {
-        upstream.warm_at.set(self.clock.now() + cold_for);
+        upstream.warm_up_ends_at.set(self.clock.now() + cold_for);
         if !cold_for.is_zero() {
             record!(
                 events::UPSTREAM_COLD,
@@ -386,9 +386,9 @@
 
     /// The rows that decisions are made on, of all upstreams.
     #[must_use]
-    pub fn specs(&self, table: &RouteTable) -> Vec<Spec> {
+    pub fn specs(&self, table: &RouteTable) -> Vec<UpstreamSpec> {
         let by_id = self.by_id.borrow();
-        let mut specs: Vec<Spec> = by_id.values().map(|u| spec(u, table)).collect();
+        let mut specs: Vec<UpstreamSpec> = by_id.values().map(|u| spec(u, table)).collect();
         // The order of candidates must not depend on the map's.
         specs.sort_unstable_by(|a, b| a.id.cmp(&b.id));
         specs
@@ -396,7 +396,7 @@
 
     /// The row that decisions about one of them are made on.
     #[must_use]
-    pub fn spec_of(&self, id: &str, table: &RouteTable) -> Option<Spec> {
+    pub fn spec_of(&self, id: &str, table: &RouteTable) -> Option<UpstreamSpec> {
         let by_id = self.by_id.borrow();
         by_id.get(id).map(|u| spec(u, table))
     }
@@ -426,17 +426,17 @@
     );
 }
 
-fn spec(upstream: &Upstream, table: &RouteTable) -> Spec {
+fn spec(upstream: &Upstream, table: &RouteTable) -> UpstreamSpec {
     let service = table.service(&upstream.service);
     let engine = service.and_then(|s| s.engine.as_ref());
-    Spec {
+    UpstreamSpec {
         id: upstream.id.clone(),
         born: upstream.born,
         failure_domain: upstream.failure_domain.clone(),
         services: vec![upstream.service.clone()],
         capacity_tokens: engine.map_or(0, |e| e.memory_tokens),
         max_running: upstream.slots,
-        warm_at: upstream.warm_at.get(),
+        warm_up_ends_at: upstream.warm_up_ends_at.get(),
         cold_rate: service.map_or(0.0, |s| s.cold_rate),
     }
 }
--- a/trouttrack_front/tests/front/rate_limits.rs
+++ b/trouttrack_front/tests/front/rate_limits.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use trouttrack_core::length::LengthKey;
-use trouttrack_core::upstream::{RateLimit, RateShare, Spec};
+use trouttrack_core::upstream::{RateLimit, RateShare, UpstreamSpec};
 use trouttrack_core::world::{Submission, WorldSettings};
 use trouttrack_front::app::{Running, start};
 use trouttrack_front::state::{Clock, Scheduler};
@@ -222,14 +222,14 @@
     const WARM: &str = "warm";
     let clock = Clock::start();
     let scheduler = Rc::new(Scheduler::new(clock.clone(), world_settings()));
-    let upstream = |id: &str, warm_at| Spec {
+    let upstream = |id: &str, warm_up_ends_at| UpstreamSpec {
         id: id.to_owned(),
         born: 0,
         failure_domain: "a".to_owned(),
         services: vec![id.to_owned()],
         capacity_tokens: 0,
         max_running: 8,
-        warm_at,
+        warm_up_ends_at,
         cold_rate: 20.0,
     };
     let cold_for = Duration::from_secs(3600);
--- a/trouttrack_front/tests/front/streams.rs
+++ b/trouttrack_front/tests/front/streams.rs
@@ -179,7 +179,7 @@
     let (req, addr) = (long("r1", "draft"), bed.addr());
     let answer = actix_rt::spawn(async move { req.send(addr).await });
     until("its prompt is loaded while it runs", || {
-        let uses = bed.front.front.scheduler.own_uses();
+        let uses = bed.front.front.scheduler.local_uses();
         uses.iter().any(|u| u.running == 1 && u.loading_tokens == 0)
     })
     .await;
--- a/trouttrack_gateway/src/dispatch/actor.rs
+++ b/trouttrack_gateway/src/dispatch/actor.rs
@@ -304,7 +304,7 @@
     type Result = Vec<UpstreamUse>;
 
     fn handle(&mut self, _: Uses, _: &mut Context<Self>) -> Self::Result {
-        self.world.own_uses(self.now())
+        self.world.local_uses(self.now())
     }
 }
 
@@ -314,7 +314,7 @@
     fn handle(&mut self, msg: PeerUses, _: &mut Context<Self>) {
         let now = self.now();
         self.world
-            .peer_uses(now, &msg.peer, &msg.failure_domain, &msg.uses);
+            .record_peer_uses(now, &msg.peer, &msg.failure_domain, &msg.uses);
     }
 }
 
--- a/trouttrack_gateway/src/dispatch/messages.rs
+++ b/trouttrack_gateway/src/dispatch/messages.rs
@@ -6,7 +6,7 @@
 use tokio::sync::oneshot;
 use trouttrack_core::membership::{Evacuations, UpstreamUse};
 use trouttrack_core::routing::Explanation;
-use trouttrack_core::upstream::{Report, Spec};
+use trouttrack_core::upstream::{LoadReport, UpstreamSpec};
 use trouttrack_core::world::{NotRunReason, RequestKey, Submission};
 use trouttrack_core::{FailureDomain, RequestId, UpstreamId};
 use trouttrack_rpc::{RequestInfo, UpstreamInfo};
@@ -51,7 +51,7 @@
 #[rtype(result = "()")]
 pub struct Configure {
     /// The upstreams.
-    pub specs: Vec<Spec>,
+    pub specs: Vec<UpstreamSpec>,
     /// The failure domains whose upstreams get no new work.
     pub evacuations: Evacuations,
 }
@@ -63,7 +63,7 @@
     /// The upstream.
     pub upstream: UpstreamId,
     /// The report; its `at` is its age here.
-    pub report: Report,
+    pub report: LoadReport,
     /// How old it is.
     pub age: Duration,
     /// The incarnation that the upstream says it is.
--- a/trouttrack_gateway/src/follow/reports.rs
+++ b/trouttrack_gateway/src/follow/reports.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 use trouttrack_config::fleet::Upstream;
 use trouttrack_core::membership::{MarkSource, UpstreamUse, watches};
-use trouttrack_core::upstream::Report;
+use trouttrack_core::upstream::LoadReport;
 
 /// An engine's load report.
 #[derive(Debug, Deserialize)]
@@ -113,7 +113,7 @@
     shared.observe_leaving(&target.name, body.leaving, MarkSource::Upstream);
     shared.dispatcher.do_send(Reported {
         upstream: target.name.clone(),
-        report: Report {
+        report: LoadReport {
             at: Duration::ZERO,
             running: body.running,
             waiting: body.waiting,
--- a/trouttrack_load/src/compare/bench.rs
+++ b/trouttrack_load/src/compare/bench.rs
@@ -10,7 +10,7 @@
 use std::collections::{BinaryHeap, HashMap};
 use std::time::Duration;
 use trouttrack_core::length::LengthKey;
-use trouttrack_core::upstream::{Report, Spec};
+use trouttrack_core::upstream::{LoadReport, UpstreamSpec};
 use trouttrack_core::world::{Decision, RequestKey, Submission, World};
 use trouttrack_engine::{Engine, EngineSettings, SequenceKey, StepOutput, Submit};
 
@@ -44,7 +44,7 @@
     step: Option<StepOutput>,
     running: HashMap<SequenceKey, Running>,
     /// Loads as they were, for lagging reports.
-    reports: std::collections::VecDeque<Report>,
+    reports: std::collections::VecDeque<LoadReport>,
     alive: bool,
 }
 
@@ -96,7 +96,7 @@
 impl<'a> Sim<'a> {
     fn new(workload: &'a Workload, policy: PolicyName, options: &'a BenchOptions) -> Self {
         let own = matches!(policy, PolicyName::Trouttrack | PolicyName::Oracle);
-        let spec = |(i, e): (usize, &EngineSettings)| Spec {
+        let spec = |(i, e): (usize, &EngineSettings)| UpstreamSpec {
             id: format!("e{i}"),
             failure_domain: FAILURE_DOMAIN.into(),
             services: workload
@@ -108,11 +108,11 @@
             capacity_tokens: e.capacity_tokens(),
             // A baseline hands everything over at once; engines queue it.
             max_running: if own { e.max_batch } else { usize::MAX },
-            warm_at: Duration::ZERO,
+            warm_up_ends_at: Duration::ZERO,
             born: 0,
             cold_rate: 0.0,
         };
-        let specs: Vec<Spec> = options.engines.iter().enumerate().map(spec).collect();
+        let specs: Vec<UpstreamSpec> = options.engines.iter().enumerate().map(spec).collect();
         let world = |i: usize| {
             let mut settings = options.settings.clone();
             settings.seed = options.settings.seed + i as u64;
@@ -395,7 +395,7 @@
             return;
         }
         let load = sim.engine.load();
-        sim.reports.push_back(Report {
+        sim.reports.push_back(LoadReport {
             at: self.now,
             running: load.running,
             waiting: load.waiting,
@@ -416,11 +416,11 @@
 
     fn heartbeat(&mut self, w: usize) {
         self.schedule(self.now + self.options.heartbeat_every, Event::Heartbeat(w));
-        let uses = self.worlds[w].own_uses(self.now);
+        let uses = self.worlds[w].local_uses(self.now);
         let name = format!("g{w}");
         for (other, world) in self.worlds.iter_mut().enumerate() {
             if other != w {
-                world.peer_uses(self.now, &name, FAILURE_DOMAIN, &uses);
+                world.record_peer_uses(self.now, &name, FAILURE_DOMAIN, &uses);
             }
         }
     }
--- a/trouttrack_load/src/patterns/fleet.rs
+++ b/trouttrack_load/src/patterns/fleet.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use trouttrack_core::length::LengthKey;
 use trouttrack_core::membership::{Evacuations, Revision, UpstreamUse};
-use trouttrack_core::upstream::{RateShare, Spec};
+use trouttrack_core::upstream::{RateShare, UpstreamSpec};
 use trouttrack_core::world::{Decision, RequestKey, Submission, World};
 use trouttrack_engine::{Engine, SequenceKey, StepOutput, Submit};
 
@@ -103,16 +103,16 @@
     format!("d{domain}")
 }
 
-fn spec(pattern: Pattern, layout: &Layout, engine: usize) -> Spec {
+fn spec(pattern: Pattern, layout: &Layout, engine: usize) -> UpstreamSpec {
     let settings = engine_settings(layout);
-    let (warm_at, cold_rate) = pattern.cold(engine / layout.engines);
-    Spec {
+    let (warm_up_ends_at, cold_rate) = pattern.cold(engine / layout.engines);
+    UpstreamSpec {
         id: format!("e{engine:03}"),
         failure_domain: domain_name(engine / layout.engines),
         services: vec![SERVICE.to_owned()],
         capacity_tokens: settings.capacity_tokens(),
         max_running: settings.max_batch,
-        warm_at,
+        warm_up_ends_at,
         born: 0,
         cold_rate,
     }
@@ -334,7 +334,7 @@
         let next = self.now + telling::pause(self.layout);
         self.schedule(next, Event::Heartbeat(vm));
         let receivers = telling::heartbeat(self.layout, vm, &mut self.rng);
-        let uses = Rc::new(self.vms[vm].world.own_uses(self.now));
+        let uses = Rc::new(self.vms[vm].world.local_uses(self.now));
         let sums = Rc::new(self.vms[vm].world.domain_uses(self.now));
         for to in receivers {
             self.send(vm, to, &uses, false);
@@ -346,7 +346,7 @@
 
     fn tell(&mut self, vm: usize) {
         self.vms[vm].tells = false;
-        let uses = Rc::new(self.vms[vm].world.own_uses(self.now));
+        let uses = Rc::new(self.vms[vm].world.local_uses(self.now));
         let used: Vec<usize> = uses.iter().map(|u| self.domain_of(&u.upstream)).collect();
         let telling = self.telling;
         let receivers = telling.receivers(self.layout, vm, &used, &mut self.rng);
@@ -384,10 +384,10 @@
         let domain = domain_name(told.from / self.layout.vms);
         let world = &mut self.vms[vm].world;
         match told.sums {
-            true => world.domain_uses_told(self.now, &domain, &told.uses),
+            true => world.record_domain_uses(self.now, &domain, &told.uses),
             false => {
                 let name = format!("v{}", told.from);
-                world.peer_uses(self.now, &name, &domain, &told.uses);
+                world.record_peer_uses(self.now, &name, &domain, &told.uses);
             }
         }
     }
--- a/trouttrack_load/src/patterns/shed/layout.rs
+++ b/trouttrack_load/src/patterns/shed/layout.rs
@@ -3,7 +3,7 @@
 use crate::patterns::settings::world_settings;
 use std::time::Duration;
 use trouttrack_core::Time;
-use trouttrack_core::upstream::Spec;
+use trouttrack_core::upstream::UpstreamSpec;
 use trouttrack_core::world::World;
 
 pub(super) const SERVICE: &str = "desk";
@@ -29,15 +29,15 @@
     format!("d{}", place % 4)
 }
 
-fn spec(upstream: usize) -> Spec {
-    Spec {
+fn spec(upstream: usize) -> UpstreamSpec {
+    UpstreamSpec {
         id: id(upstream),
         born: 0,
         failure_domain: domain(upstream),
         services: vec![SERVICE.to_owned()],
         capacity_tokens: 0,
         max_running: SLOTS,
-        warm_at: Time::ZERO,
+        warm_up_ends_at: Time::ZERO,
         cold_rate: 0.0,
     }
 }
--- a/trouttrack_load/src/patterns/shed/play.rs
+++ b/trouttrack_load/src/patterns/shed/play.rs
@@ -14,7 +14,7 @@
 use trouttrack_core::Time;
 use trouttrack_core::length::LengthKey;
 use trouttrack_core::membership::UpstreamUse;
-use trouttrack_core::upstream::{Incarnation, Said};
+use trouttrack_core::upstream::{Incarnation, UpstreamNotice};
 use trouttrack_core::world::{Decision, RequestKey, Submission, World};
 
 /// A call's objective there: it waits for a place no longer.
@@ -246,7 +246,7 @@
             Heeds::Own | Heeds::All => {
                 if let Word::Rests(rest) = self.word {
                     let life = Incarnation::new(&id(upstream), 0);
-                    world.hear(self.now, &life, Said::Rests(rest));
+                    world.receive_notice(self.now, &life, UpstreamNotice::Pause(rest));
                 }
                 world.refused(self.now, key);
                 world.ended(self.now, key, false, None)
@@ -263,7 +263,7 @@
         self.vms[vm].tells = false;
         self.told_uses.push(Datagram {
             from: vm,
-            uses: Rc::new(self.vms[vm].world.own_uses(self.now)),
+            uses: Rc::new(self.vms[vm].world.local_uses(self.now)),
         });
         let datagram = self.told_uses.len() - 1;
         for to in (0..self.vms.len()).filter(|to| *to != vm && domain(*to) == domain(vm)) {
@@ -277,7 +277,7 @@
         let Datagram { from, uses } = self.told_uses[datagram].clone();
         let name = format!("v{from}");
         let world = &mut self.vms[vm].world;
-        world.peer_uses(self.now, &name, &domain(from), &uses);
+        world.record_peer_uses(self.now, &name, &domain(from), &uses);
     }
 
     fn served(&mut self, sent: usize) {
@@ -286,7 +286,7 @@
         let world = &mut self.vms[vm].world;
         if leaves && self.heeds != Heeds::Nothing {
             let life = Incarnation::new(&id(upstream), 0);
-            world.hear(self.now, &life, Said::Leaves);
+            world.receive_notice(self.now, &life, UpstreamNotice::Leaving);
         }
         world.ended(self.now, key, false, Some(0));
         self.decide(vm);
