--- a/trouttrack_core/benches/decision.rs
+++ b/trouttrack_core/benches/decision.rs
@@ -79,7 +79,7 @@
     world.submit(now, submission(i, organisations));
     for d in world.tick(now) {
         if let Decision::Place { request, .. } = black_box(d) {
-            world.ended(now, request, false, Some(100));
+            world.record_end(now, request, false, Some(100));
         }
     }
 }
--- a/trouttrack_core/src/claims/mod.rs
+++ b/trouttrack_core/src/claims/mod.rs
@@ -21,6 +21,6 @@
 
 pub use owner::{owner, shard_of};
 pub use shard::{
-    Bucket, BucketNumber, Claim, ClaimShard, Decided, KeyHash, Plan, SHARDS, SLOTS, ShardLimits,
-    Slot, key_hash,
+    Bucket, BucketNumber, Claim, ClaimDecision, ClaimShard, ClaimWrite, KeyHash, SHARDS, SLOTS,
+    ShardLimits, Slot, key_hash,
 };
--- a/trouttrack_core/src/claims/shard.rs
+++ b/trouttrack_core/src/claims/shard.rs
@@ -86,18 +86,18 @@
 
 /// The result of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Decided {
+pub enum ClaimDecision {
     /// The key belongs to this request once the planned write has succeeded.
     Ours,
     /// The key was claimed earlier, by this claim.
     Known(Claim),
     /// Every slot of the ring contains claims within their retention period.
-    NoRoom,
+    RingFull,
 }
 
 /// A conditional write that stores a batch of claims.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Plan {
+pub struct ClaimWrite {
     /// The slot to write.
     pub slot: Slot,
     /// Expected version of the slot; `None` if the slot must not exist.
@@ -118,15 +118,15 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use trouttrack_core::claims::{key_hash, Claim, ClaimShard, Decided, ShardLimits};
+/// use trouttrack_core::claims::{key_hash, Claim, ClaimShard, ClaimDecision, ShardLimits};
 /// let mut shard = ClaimShard::new(ShardLimits::default());
 /// let claim = Claim { key: key_hash("o", "k"), request: "r-1".into(), gateway: "g1".into() };
 /// let now = Duration::from_secs(1);
 /// let (decided, plan) = shard.plan(now, &[claim.clone()]);
-/// assert_eq!(decided, [Decided::Ours]);
+/// assert_eq!(decided, [ClaimDecision::Ours]);
 /// shard.written(&plan.unwrap(), 1);
 /// let other = Claim { request: "r-2".into(), ..claim.clone() };
-/// assert_eq!(shard.plan(now, &[other]).0, [Decided::Known(claim)]);
+/// assert_eq!(shard.plan(now, &[other]).0, [ClaimDecision::Known(claim)]);
 /// ```
 #[derive(Clone, Debug)]
 pub struct ClaimShard {
@@ -222,10 +222,10 @@
     }
 
     /// Decides on a batch of claims in order and returns the write that stores
-    /// them. Claims decided as [`Decided::Ours`] take effect only when the write
+    /// them. Claims decided as [`ClaimDecision::Ours`] take effect only when the write
     /// has succeeded.
     #[must_use]
-    pub fn plan(&self, now: Duration, batch: &[Claim]) -> (Vec<Decided>, Option<Plan>) {
+    pub fn plan(&self, now: Duration, batch: &[Claim]) -> (Vec<ClaimDecision>, Option<ClaimWrite>) {
         let mut ours: HashMap<&str, &Claim> = HashMap::new();
         let mut new: Vec<Claim> = Vec::new();
         let mut decided = Vec::with_capacity(batch.len());
@@ -233,10 +233,10 @@
             let known = self.claim(&claim.key);
             match known.or_else(|| ours.get(claim.key.as_str()).copied()) {
                 // The request retries its claim, for example after a lost reply.
-                Some(known) if known.request == claim.request => decided.push(Decided::Ours),
-                Some(known) => decided.push(Decided::Known(known.clone())),
+                Some(known) if known.request == claim.request => decided.push(ClaimDecision::Ours),
+                Some(known) => decided.push(ClaimDecision::Known(known.clone())),
                 None => {
-                    decided.push(Decided::Ours);
+                    decided.push(ClaimDecision::Ours);
                     ours.insert(&claim.key, claim);
                     new.push(claim.clone());
                 }
@@ -247,8 +247,8 @@
         }
         let plan = self.append(now, new);
         if plan.is_none() {
-            for d in decided.iter_mut().filter(|d| **d == Decided::Ours) {
-                *d = Decided::NoRoom;
+            for d in decided.iter_mut().filter(|d| **d == ClaimDecision::Ours) {
+                *d = ClaimDecision::RingFull;
             }
         }
         (decided, plan)
@@ -258,7 +258,7 @@
     /// dispatch, as confirmed by the gateway that served it. Returns `None` if
     /// `given_up` is not the current claim of the key, or if the ring is full.
     #[must_use]
-    pub fn take_over(&self, now: Duration, given_up: &Claim, claim: &Claim) -> Option<Plan> {
+    pub fn take_over(&self, now: Duration, given_up: &Claim, claim: &Claim) -> Option<ClaimWrite> {
         let known = self.claim(&claim.key)?;
         if known != given_up {
             return None;
@@ -268,7 +268,7 @@
 
     /// Appends claims to the open bucket, and seals it if it is full or too old.
     /// If no bucket is open, creates the next one in its slot.
-    fn append(&self, now: Duration, claims: Vec<Claim>) -> Option<Plan> {
+    fn append(&self, now: Duration, claims: Vec<Claim>) -> Option<ClaimWrite> {
         let last = self.slots.iter().max_by_key(|(_, h)| h.bucket.number);
         match last {
             Some((slot, cached)) if !cached.bucket.sealed => {
@@ -277,7 +277,7 @@
                 let full = bucket.claims.len() >= self.limits.max_bucket_claims;
                 let old = now.saturating_sub(bucket.made) >= self.limits.max_bucket_age;
                 bucket.sealed = full || old;
-                Some(Plan {
+                Some(ClaimWrite {
                     slot: *slot,
                     version: Some(cached.version),
                     bucket,
@@ -287,14 +287,19 @@
         }
     }
 
-    fn next_bucket(&self, now: Duration, number: BucketNumber, claims: Vec<Claim>) -> Option<Plan> {
+    fn next_bucket(
+        &self,
+        now: Duration,
+        number: BucketNumber,
+        claims: Vec<Claim>,
+    ) -> Option<ClaimWrite> {
         let slot = number % self.limits.slots;
         let previous = self.slots.get(&slot);
         let kept = self.limits.max_bucket_age + self.limits.retention;
         if previous.is_some_and(|h| now.saturating_sub(h.bucket.made) <= kept) {
             return None;
         }
-        Some(Plan {
+        Some(ClaimWrite {
             slot,
             version: previous.map(|h| h.version),
             bucket: Bucket {
@@ -307,7 +312,7 @@
     }
 
     /// Records that a planned write has succeeded and produced `version`.
-    pub fn written(&mut self, plan: &Plan, version: u64) {
+    pub fn written(&mut self, plan: &ClaimWrite, version: u64) {
         self.read(plan.slot, version, plan.bucket.clone());
     }
 }
--- a/trouttrack_core/src/fleet/routes.rs
+++ b/trouttrack_core/src/fleet/routes.rs
@@ -114,7 +114,7 @@
 
 impl Route {
     /// Selects the service for a request at random, weighted by the shares.
-    pub fn draw_service<R: Rng>(&self, rng: &mut R) -> Option<&ServiceId> {
+    pub fn sample_service<R: Rng>(&self, rng: &mut R) -> Option<&ServiceId> {
         let total_weight: f64 = self.shares.iter().map(|s| s.weight.max(0.0)).sum();
         if self.shares.len() <= 1 || total_weight <= 0.0 {
             return self.shares.first().map(|s| &s.service);
--- a/trouttrack_core/src/lease/mod.rs
+++ b/trouttrack_core/src/lease/mod.rs
@@ -47,49 +47,49 @@
 
 /// A lease from the point of view of its holder.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldLease {
     /// Version of the stored object.
     pub version: u64,
     /// Content of the stored object.
     pub record: LeaseRecord,
     /// Time immediately before the write that acquired or renewed the lease was sent.
-    pub since: Time,
+    pub sent_at: Time,
 }
 
-impl Held {
+impl HeldLease {
     /// Returns whether the holder may start an operation at `now`.
     ///
     /// # Examples
     ///
     /// ```
     /// use std::time::Duration;
-    /// use trouttrack_core::lease::{Held, LeaseRecord};
+    /// use trouttrack_core::lease::{HeldLease, LeaseRecord};
     /// let record = LeaseRecord { holder: "c1".into(), epoch: 1, duration_ms: 8000 };
-    /// let held = Held { version: 1, record, since: Duration::from_secs(10) };
+    /// let held = HeldLease { version: 1, record, sent_at: Duration::from_secs(10) };
     /// assert!(held.may_act(Duration::from_secs(15)));
     /// assert!(!held.may_act(Duration::from_secs(16)));
     /// ```
     #[must_use]
     pub fn may_act(&self, now: Time) -> bool {
         let duration = self.record.duration();
-        now < self.since + (duration - duration / MARGIN_DIVISOR)
+        now < self.sent_at + (duration - duration / MARGIN_DIVISOR)
     }
 
     /// Returns whether the lease is due for renewal.
     #[must_use]
     pub fn renew_due(&self, now: Time) -> bool {
-        now >= self.since + self.record.duration() / RENEWAL_DIVISOR
+        now >= self.sent_at + self.record.duration() / RENEWAL_DIVISOR
     }
 }
 
 /// A lease from the point of view of another process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Observed {
+pub struct ObservedLease {
     version: u64,
     first_seen: Time,
 }
 
-impl Observed {
+impl ObservedLease {
     /// Records that the object was read at `now` with this version and content. Returns
     /// whether it has been unchanged for its full duration, so that the lease may be
     /// taken over.
@@ -98,14 +98,14 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use trouttrack_core::lease::{LeaseRecord, Observed};
+    /// use trouttrack_core::lease::{LeaseRecord, ObservedLease};
     /// let record = LeaseRecord { holder: "c1".into(), epoch: 1, duration_ms: 8000 };
-    /// let mut observed = Observed::default();
-    /// assert!(!observed.see(Duration::from_secs(100), 7, &record));
-    /// assert!(!observed.see(Duration::from_secs(107), 7, &record));
-    /// assert!(observed.see(Duration::from_secs(108), 7, &record));
+    /// let mut observed = ObservedLease::default();
+    /// assert!(!observed.observe(Duration::from_secs(100), 7, &record));
+    /// assert!(!observed.observe(Duration::from_secs(107), 7, &record));
+    /// assert!(observed.observe(Duration::from_secs(108), 7, &record));
     /// ```
-    pub fn see(&mut self, now: Time, version: u64, record: &LeaseRecord) -> bool {
+    pub fn observe(&mut self, now: Time, version: u64, record: &LeaseRecord) -> bool {
         if self.version != version {
             self.version = version;
             self.first_seen = now;
--- a/trouttrack_core/src/length/mod.rs
+++ b/trouttrack_core/src/length/mod.rs
@@ -113,9 +113,9 @@
 /// let mut table = LengthTable::default();
 /// let key = LengthKey::new("lookup", "m", "umurage");
 /// for _ in 0..50 {
-///     table.learn(key, 20);
+///     table.record(key, 20);
 /// }
-/// assert!(table.remaining(key, 0, 0.9) < 30.0);
+/// assert!(table.estimate_remaining(key, 0, 0.9) < 30.0);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct LengthTable {
@@ -124,7 +124,7 @@
 
 impl LengthTable {
     /// Records the total length of an answer that was not cut off.
-    pub fn learn(&mut self, key: LengthKey, tokens: u64) {
+    pub fn record(&mut self, key: LengthKey, tokens: u64) {
         for k in [key.service_and_organisation, key.service, key.model] {
             self.by_key.entry(k).or_default().record(tokens as f64);
         }
@@ -133,7 +133,7 @@
     /// Returns the `quantile` (0 to 1) of the remaining tokens of an answer that has `so_far`
     /// tokens.
     #[must_use]
-    pub fn remaining(&self, key: LengthKey, so_far: u64, quantile: f64) -> f64 {
+    pub fn estimate_remaining(&self, key: LengthKey, so_far: u64, quantile: f64) -> f64 {
         let so_far = so_far as f64;
         [key.service_and_organisation, key.service, key.model]
             .iter()
--- a/trouttrack_core/src/membership/entries.rs
+++ b/trouttrack_core/src/membership/entries.rs
@@ -38,9 +38,9 @@
 /// entries.listed("e2");
 /// entries.store_lost();
 /// assert!(!entries.removed(2 * second, "e2"));
-/// entries.store_back(3 * second);
-/// assert!(entries.gone(4 * second).is_empty());
-/// assert_eq!(entries.gone(6 * second), ["e2"]);
+/// entries.store_recovered(3 * second);
+/// assert!(entries.take_expired(4 * second).is_empty());
+/// assert_eq!(entries.take_expired(6 * second), ["e2"]);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Entries {
@@ -92,7 +92,7 @@
     }
 
     /// Records that a call to the store succeeded. Returns whether this ends an outage.
-    pub fn store_back(&mut self, now: Time) -> bool {
+    pub fn store_recovered(&mut self, now: Time) -> bool {
         let was_unreachable = std::mem::take(&mut self.unreachable);
         if was_unreachable {
             self.recovered_at = Some(now);
@@ -112,7 +112,7 @@
 
     /// Removes and returns the lapsed entries whose grace period has ended. Returns none during
     /// an outage.
-    pub fn gone(&mut self, now: Time) -> Vec<UpstreamId> {
+    pub fn take_expired(&mut self, now: Time) -> Vec<UpstreamId> {
         if self.unreachable || self.in_grace_period(now) {
             return Vec::new();
         }
--- a/trouttrack_core/src/membership/heartbeat.rs
+++ b/trouttrack_core/src/membership/heartbeat.rs
@@ -23,17 +23,17 @@
 /// domain.
 const MAX_WATCHER_INTERVAL: Duration = Duration::from_millis(500);
 /// Number of randomly selected receivers of each heartbeat in the local failure domain.
-pub const NEAR_TOLD: usize = 16;
+pub const LOCAL_FANOUT: usize = 16;
 /// Number of randomly selected receivers of each heartbeat in other failure domains. Kept
 /// low because traffic between failure domains is billed.
-pub const FAR_TOLD: usize = 4;
+pub const REMOTE_FANOUT: usize = 4;
 /// Maximum fleet size in which each VM sends its use of upstreams to all others. In a larger
 /// fleet it sends them to its own failure domain, and other VMs receive aggregates.
 const MAX_VMS_FOR_BROADCAST: usize = 24;
 /// Maximum number of upstream limits in a datagram, at about 40 bytes each.
-pub const LIMITS_TOLD: usize = 16;
+pub const MAX_LIMITS_PER_DATAGRAM: usize = 16;
 /// Period after a change of a limit in which it is included in each load update.
-pub const CHANGED_LIMIT_TOLD: Duration = Duration::from_secs(1);
+pub const CHANGED_LIMIT_REPEAT_PERIOD: Duration = Duration::from_secs(1);
 /// Silence after which a peer is considered failed, in mean intervals between two of its
 /// heartbeats to the same receiver. With a third of the peers selected each time, the probability that a
 /// live peer is not selected for four such intervals is 1 in 130.
@@ -45,12 +45,12 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use trouttrack_core::membership::heartbeat_pause;
-/// assert_eq!(heartbeat_pause(7), Duration::from_millis(200));
-/// assert_eq!(heartbeat_pause(320), Duration::from_secs(1));
+/// use trouttrack_core::membership::heartbeat_interval;
+/// assert_eq!(heartbeat_interval(7), Duration::from_millis(200));
+/// assert_eq!(heartbeat_interval(320), Duration::from_secs(1));
 /// ```
 #[must_use]
-pub fn heartbeat_pause(vms: usize) -> Duration {
+pub fn heartbeat_interval(vms: usize) -> Duration {
     MIN_HEARTBEAT_INTERVAL.mul_f64((vms as f64 / VMS_PER_INTERVAL as f64).max(1.0))
 }
 
@@ -62,26 +62,26 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use trouttrack_core::membership::watchers_pause;
-/// assert_eq!(watchers_pause(7), Duration::from_millis(200));
-/// assert_eq!(watchers_pause(2000), Duration::from_millis(500));
+/// use trouttrack_core::membership::watcher_heartbeat_interval;
+/// assert_eq!(watcher_heartbeat_interval(7), Duration::from_millis(200));
+/// assert_eq!(watcher_heartbeat_interval(2000), Duration::from_millis(500));
 /// ```
 #[must_use]
-pub fn watchers_pause(vms: usize) -> Duration {
-    heartbeat_pause(vms).min(MAX_WATCHER_INTERVAL)
+pub fn watcher_heartbeat_interval(vms: usize) -> Duration {
+    heartbeat_interval(vms).min(MAX_WATCHER_INTERVAL)
 }
 
 /// Returns whether a fleet of `vms` VMs is too large for each VM to send load updates for each
 /// request to all others.
 #[must_use]
-pub fn tells_sums(vms: usize) -> bool {
+pub fn sends_aggregates(vms: usize) -> bool {
     vms > MAX_VMS_FOR_BROADCAST
 }
 
 /// Returns the silence after which a peer is considered failed if it is one of `near` peers in
 /// the local failure domain.
 #[must_use]
-pub fn longest_silence(vms: usize, near: usize) -> Duration {
-    let intervals = (near as f64 / NEAR_TOLD as f64).max(1.0);
-    heartbeat_pause(vms).mul_f64(intervals * MAX_MISSED_INTERVALS)
+pub fn peer_timeout(vms: usize, near: usize) -> Duration {
+    let intervals = (near as f64 / LOCAL_FANOUT as f64).max(1.0);
+    heartbeat_interval(vms).mul_f64(intervals * MAX_MISSED_INTERVALS)
 }
--- a/trouttrack_core/src/membership/mod.rs
+++ b/trouttrack_core/src/membership/mod.rs
@@ -5,7 +5,6 @@
 
 mod departures;
 mod dissemination;
-mod duty;
 mod entries;
 mod evacuations;
 mod heartbeat;
@@ -15,22 +14,24 @@
 mod revision;
 mod sent_times;
 mod watch;
+mod watcher_election;
 
 pub use departures::{Departures, RESTORE_GRACE};
 pub use dissemination::{
-    ANSWERED_AT_ONCE, CALLERS, CHANGES_IN_DATAGRAM, CONFIRMATION_ASKED_AGAIN, CONFIRMED_BY_PEER,
-    CONFIRMED_BY_STORE, CONFIRMED_BY_WATCHER, LISTS_AGAIN, NEWS_ANSWERS, NEWS_LATE,
+    CONFIRMATION_RETRY_INTERVAL, LIST_RETRY_INTERVAL, MAX_CHANGES_PER_DATAGRAM,
+    MAX_CONCURRENT_TRANSFERS, MAX_UPDATE_DATAGRAMS, MEAN_STORE_CALLERS, PEER_REQUEST_AGE,
+    STORE_REQUEST_AGE, UPDATE_REQUEST_DELAY, WATCHER_RENEWAL_AGE,
 };
-pub use duty::{Contact, Duty, Standing};
 pub use entries::Entries;
 pub use evacuations::Evacuations;
 pub use heartbeat::{
-    CHANGED_LIMIT_TOLD, FAR_TOLD, LIMITS_TOLD, NEAR_TOLD, heartbeat_pause, longest_silence,
-    tells_sums, watchers_pause,
+    CHANGED_LIMIT_REPEAT_PERIOD, LOCAL_FANOUT, MAX_LIMITS_PER_DATAGRAM, REMOTE_FANOUT,
+    heartbeat_interval, peer_timeout, sends_aggregates, watcher_heartbeat_interval,
 };
 pub use marks::{Mark, MarkEntry, MarkSource, MarkTable};
 pub use peers::{Digest, Peer, PeerTable, UpstreamUse};
-pub use receivers::{news_receivers, relays};
+pub use receivers::{relays, update_receivers};
 pub use revision::Revision;
 pub use sent_times::SentTimes;
 pub use watch::watches;
+pub use watcher_election::{Precedence, StoreReachability, WatcherElection};
--- a/trouttrack_core/src/membership/peers.rs
+++ b/trouttrack_core/src/membership/peers.rs
@@ -76,7 +76,7 @@
 /// use trouttrack_core::membership::{Digest, PeerTable};
 /// let mut peers = PeerTable::new(Duration::from_secs(3));
 /// let digest = Digest { name: "g2".into(), sequence: 1, ..Digest::default() };
-/// assert!(peers.heard(Duration::ZERO, digest));
+/// assert!(peers.record(Duration::ZERO, digest));
 /// assert_eq!(peers.alive(Duration::from_secs(1)).count(), 1);
 /// assert_eq!(peers.alive(Duration::from_secs(9)).count(), 0);
 /// ```
@@ -98,7 +98,7 @@
     }
 
     /// Records a received digest. Returns whether it is newer than the last one.
-    pub fn heard(&mut self, now: Time, digest: Digest) -> bool {
+    pub fn record(&mut self, now: Time, digest: Digest) -> bool {
         let order = |d: &Digest| (d.incarnation, d.sequence);
         if let Some(known) = self.peers.get(&digest.name)
             && order(&known.digest) >= order(&digest)
--- a/trouttrack_core/src/membership/receivers.rs
+++ b/trouttrack_core/src/membership/receivers.rs
@@ -23,13 +23,13 @@
 /// # Examples
 ///
 /// ```
-/// use trouttrack_core::membership::news_receivers;
+/// use trouttrack_core::membership::update_receivers;
 /// let mut rng = rand::rng();
 /// let near = |peer: &usize| peer % 8 == 0;
-/// assert_eq!(news_receivers((0..20).collect(), near, &mut rng).len(), 20);
-/// assert_eq!(news_receivers((0..320).collect(), near, &mut rng).len(), 40 + 4);
+/// assert_eq!(update_receivers((0..20).collect(), near, &mut rng).len(), 20);
+/// assert_eq!(update_receivers((0..320).collect(), near, &mut rng).len(), 40 + 4);
 /// ```
-pub fn news_receivers<T, R: Rng>(
+pub fn update_receivers<T, R: Rng>(
     mut others: Vec<T>,
     near: impl Fn(&T) -> bool,
     rng: &mut R,
--- a/trouttrack_core/src/membership/sent_times.rs
+++ b/trouttrack_core/src/membership/sent_times.rs
@@ -26,8 +26,8 @@
 /// sent.sent(7, ms(1000));
 /// // A peer that had received heartbeat 7 and then reported a state 300 ms old
 /// // reported a state that was valid at 700 ms or later.
-/// assert_eq!(sent.at_least(7, ms(300)), Some(ms(700)));
-/// assert_eq!(sent.at_least(8, ms(300)), None);
+/// assert_eq!(sent.earliest_time(7, ms(300)), Some(ms(700)));
+/// assert_eq!(sent.earliest_time(8, ms(300)), None);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SentTimes {
@@ -46,7 +46,7 @@
     /// Returns a lower bound of the time of an event whose age was `age` after its
     /// reporter had received heartbeat `echo`, or `None` if that heartbeat is unknown.
     #[must_use]
-    pub fn at_least(&self, echo: u64, age: Duration) -> Option<Time> {
+    pub fn earliest_time(&self, echo: u64, age: Duration) -> Option<Time> {
         let (_, sent_at) = self.times.iter().find(|(sequence, _)| *sequence == echo)?;
         Some(sent_at.saturating_sub(age))
     }
--- a/trouttrack_core/src/membership/duty.rs
+++ b/trouttrack_core/src/membership/watcher_election.rs
@@ -21,7 +21,7 @@
 
 /// How recently a VM has reached the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Contact {
+pub enum StoreReachability {
     /// Calls to the store fail.
     Unreachable,
     /// No recent call was answered.
@@ -30,7 +30,7 @@
     Answered,
 }
 
-impl Contact {
+impl StoreReachability {
     /// Classifies the time since the last response from the store; `age` is `None` while
     /// calls fail. `answered` must exceed the time within which the store responds to a
     /// watch without events.
@@ -47,18 +47,18 @@
 /// Precedence of a VM among the candidates for watching the store; the greatest one takes
 /// the role.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Standing {
-    contact: Contact,
+pub struct Precedence {
+    reachability: StoreReachability,
     rank: u64,
     name: String,
 }
 
-impl Standing {
+impl Precedence {
     /// Returns the precedence of a VM. All VMs compute the same order without communication.
     #[must_use]
-    pub fn new(name: &str, contact: Contact) -> Self {
+    pub fn new(name: &str, reachability: StoreReachability) -> Self {
         Self {
-            contact,
+            reachability,
             rank: xxh3_64(name.as_bytes()),
             name: name.to_owned(),
         }
@@ -71,33 +71,33 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use trouttrack_core::membership::Duty;
+/// use trouttrack_core::membership::WatcherElection;
 /// let pause = Duration::from_secs(1);
-/// let mut duty = Duty::default();
+/// let mut election = WatcherElection::default();
 /// // No watcher has announced itself, and two VMs have higher precedence.
-/// assert!(!duty.decide(Duration::from_millis(3400), 2, pause));
-/// assert!(duty.decide(Duration::from_millis(3600), 2, pause));
+/// assert!(!election.decide(Duration::from_millis(3400), 2, pause));
+/// assert!(election.decide(Duration::from_millis(3600), 2, pause));
 /// // One of them has announced that it watches, so this VM yields.
-/// duty.claimed(Duration::from_millis(3700));
-/// assert!(!duty.decide(Duration::from_millis(3800), 2, pause));
+/// election.announcement_received(Duration::from_millis(3700));
+/// assert!(!election.decide(Duration::from_millis(3800), 2, pause));
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Duty {
-    holds: bool,
-    claimed_at: Time,
+pub struct WatcherElection {
+    is_watcher: bool,
+    announced_at: Time,
 }
 
-impl Duty {
+impl WatcherElection {
     /// Returns whether this VM watches, according to the last decision.
     #[must_use]
-    pub fn holds(&self) -> bool {
-        self.holds
+    pub fn is_watcher(&self) -> bool {
+        self.is_watcher
     }
 
     /// Records that a VM with higher precedence has announced that it watches.
-    pub fn claimed(&mut self, now: Time) {
-        self.holds = false;
-        self.claimed_at = now;
+    pub fn announcement_received(&mut self, now: Time) {
+        self.is_watcher = false;
+        self.announced_at = now;
     }
 
     /// Decides whether this VM watches from now on, which it does if no VM with higher
@@ -105,12 +105,12 @@
     /// VMs with higher precedence, and `pause` is the heartbeat interval.
     pub fn decide(&mut self, now: Time, before: usize, pause: Duration) -> bool {
         let intervals = f64::from(MAX_MISSED_ANNOUNCEMENTS) + STAGGER_FRACTION * before as f64;
-        self.holds |= now.saturating_sub(self.claimed_at) >= pause.mul_f64(intervals);
-        self.holds
+        self.is_watcher |= now.saturating_sub(self.announced_at) >= pause.mul_f64(intervals);
+        self.is_watcher
     }
 
     /// Gives up the watch so that another VM takes over.
     pub fn release(&mut self, now: Time) {
-        self.claimed(now);
+        self.announcement_received(now);
     }
 }
--- a/trouttrack_core/src/quarantine/suspect.rs
+++ b/trouttrack_core/src/quarantine/crash_record.rs
@@ -15,7 +15,7 @@
 
 /// Record of a request whose upstreams crashed, as sent to other VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Suspect {
+pub struct CrashRecord {
     /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
     /// Crashes of upstreams while they ran it.
--- a/trouttrack_core/src/quarantine/mod.rs
+++ b/trouttrack_core/src/quarantine/mod.rs
@@ -9,20 +9,20 @@
 //! Any unannounced end of an upstream counts as a crash, for example the loss of its rack.
 //! A crash ends all requests on the upstream, and at most one of them is the cause. A
 //! request is therefore held only if several upstreams crashed in a row while running it,
-//! without a completed run of it in between ([`Quarantine::ran_well`]).
+//! without a completed run of it in between ([`Quarantine::record_completed_run`]).
 //!
 //! VMs merge their records. Each keeps the union of the crashes and the latest completed
 //! run, so messages may arrive in any order and more than once. A single crash is reported
-//! to the few VMs that keep the record of the request ([`keepers`]); held requests are
+//! to the few VMs that keep the record of the request ([`record_holders`]); held requests are
 //! reported to all VMs.
 
-mod keepers;
+mod crash_record;
 mod record;
+mod record_holders;
 mod settings;
-mod suspect;
 mod table;
 
-pub use keepers::keepers;
+pub use crash_record::{CrashRecord, UpstreamCrash};
+pub use record_holders::record_holders;
 pub use settings::QuarantineSettings;
-pub use suspect::{Suspect, UpstreamCrash};
-pub use table::{Heard, Hold, Quarantine};
+pub use table::{Hold, MergeResult, Quarantine};
--- a/trouttrack_core/src/quarantine/record.rs
+++ b/trouttrack_core/src/quarantine/record.rs
@@ -1,6 +1,6 @@
 //! Crash record of one request.
 
-use super::suspect::{Suspect, UpstreamCrash};
+use super::crash_record::{CrashRecord, UpstreamCrash};
 use crate::upstream::Incarnation;
 use crate::{Fingerprint, Time};
 use std::time::Duration;
@@ -27,7 +27,7 @@
 impl Record {
     /// Records a crash of an upstream. Returns whether it is new: an incarnation crashes only
     /// once, whichever VM notices it and when.
-    pub(super) fn ended(&mut self, upstream: &Incarnation, at: Time) -> bool {
+    pub(super) fn record_crash(&mut self, upstream: &Incarnation, at: Time) -> bool {
         if let Some(known) = self.ends.iter_mut().find(|e| e.upstream == *upstream) {
             known.at = known.at.min(at);
             self.ends.sort_by_key(|e| e.at);
@@ -46,7 +46,7 @@
     }
 
     /// Records a completed run.
-    pub(super) fn ran_well(&mut self, at: Time) {
+    pub(super) fn record_completed_run(&mut self, at: Time) {
         self.ran_well_at = self.ran_well_at.max(Some(at));
     }
 
@@ -83,13 +83,13 @@
     }
 
     /// The record as sent to other VMs.
-    pub(super) fn to_suspect(&self, fingerprint: Fingerprint, now: Time) -> Suspect {
+    pub(super) fn to_crash_record(&self, fingerprint: Fingerprint, now: Time) -> CrashRecord {
         let ago_ms = |at: Time| now.saturating_sub(at).as_millis() as u64;
         let ends = self.ends.iter().map(|e| UpstreamCrash {
             upstream: e.upstream.clone(),
             ago_ms: ago_ms(e.at),
         });
-        Suspect {
+        CrashRecord {
             fingerprint,
             ends: ends.collect(),
             ran_well_ago_ms: self.ran_well_at.map(ago_ms),
--- a/trouttrack_core/src/quarantine/keepers.rs
+++ b/trouttrack_core/src/quarantine/record_holders.rs
@@ -20,14 +20,14 @@
 /// # Examples
 ///
 /// ```
-/// use trouttrack_core::quarantine::keepers;
+/// use trouttrack_core::quarantine::record_holders;
 /// let vms: Vec<String> = (0..295).map(|n| format!("vm-{n}")).collect();
-/// let of_one = keepers(7, vms.iter(), |vm| vm.as_str());
+/// let of_one = record_holders(7, vms.iter(), |vm| vm.as_str());
 /// assert_eq!(of_one.len(), 8);
-/// assert_eq!(of_one, keepers(7, vms.iter().rev(), |vm| vm.as_str()));
-/// assert_ne!(of_one, keepers(8, vms.iter(), |vm| vm.as_str()));
+/// assert_eq!(of_one, record_holders(7, vms.iter().rev(), |vm| vm.as_str()));
+/// assert_ne!(of_one, record_holders(8, vms.iter(), |vm| vm.as_str()));
 /// ```
-pub fn keepers<T>(
+pub fn record_holders<T>(
     request: Fingerprint,
     vms: impl Iterator<Item = T>,
     name: impl Fn(&T) -> &str,
--- a/trouttrack_core/src/quarantine/table.rs
+++ b/trouttrack_core/src/quarantine/table.rs
@@ -1,8 +1,8 @@
 //! Table of requests whose upstreams crashed.
 
+use super::crash_record::CrashRecord;
 use super::record::Record;
 use super::settings::QuarantineSettings;
-use super::suspect::Suspect;
 use crate::upstream::Incarnation;
 use crate::{Fingerprint, Time};
 use std::cell::Cell;
@@ -26,11 +26,11 @@
 
 /// Result of merging the records of another VM.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct MergeResult {
     /// Requests that are held as a result.
     pub held: Vec<Fingerprint>,
     /// Requests with a later completed run that the other VM does not know of.
-    pub known_better: Vec<Fingerprint>,
+    pub newer_runs: Vec<Fingerprint>,
 }
 
 /// Table of requests whose upstreams crashed.
@@ -46,11 +46,11 @@
 /// let now = Duration::from_secs(1);
 /// for id in ["u1", "u2"] {
 ///     assert!(quarantine.hold(now, 7).is_none());
-///     quarantine.ended(now, 7, &Incarnation::new(id, 0));
+///     quarantine.record_crash(now, 7, &Incarnation::new(id, 0));
 /// }
 /// assert_eq!(quarantine.hold(now, 7).unwrap().ends, 2);
 /// // Another request that ran on one of these upstreams is not held.
-/// quarantine.ended(now, 8, &Incarnation::new("u1", 0));
+/// quarantine.record_crash(now, 8, &Incarnation::new("u1", 0));
 /// assert!(quarantine.hold(now, 8).is_none());
 /// ```
 #[derive(Clone, Debug)]
@@ -88,15 +88,20 @@
     }
 
     /// Records that an upstream crashed while it ran a request. Returns whether that is new.
-    pub fn ended(&mut self, now: Time, request: Fingerprint, upstream: &Incarnation) -> bool {
-        self.record_crash(self.offset(now), request, upstream)
+    pub fn record_crash(
+        &mut self,
+        now: Time,
+        request: Fingerprint,
+        upstream: &Incarnation,
+    ) -> bool {
+        self.record_crash_at(self.offset(now), request, upstream)
     }
 
     fn offset(&self, now: Time) -> Time {
         now + self.settings.hold
     }
 
-    fn record_crash(&mut self, at: Time, request: Fingerprint, upstream: &Incarnation) -> bool {
+    fn record_crash_at(&mut self, at: Time, request: Fingerprint, upstream: &Incarnation) -> bool {
         if self.settings.ends == 0 {
             return false;
         }
@@ -105,18 +110,18 @@
         }
         let record = self.requests.entry(request).or_default();
         self.cached_checksum.set(None);
-        record.ended(upstream, at)
+        record.record_crash(upstream, at)
     }
 
     /// Records a completed run of a request, after which earlier crashes no longer count.
     /// Returns whether there were any that counted.
-    pub fn ran_well(&mut self, now: Time, request: Fingerprint) -> bool {
+    pub fn record_completed_run(&mut self, now: Time, request: Fingerprint) -> bool {
         let now = self.offset(now);
         let Some(record) = self.requests.get_mut(&request) else {
             return false;
         };
         let counted = record.count() > 0;
-        record.ran_well(now);
+        record.record_completed_run(now);
         self.cached_checksum.set(None);
         counted
     }
@@ -147,7 +152,7 @@
 
     /// Requests that are held, and those with a completed run after crashes, which may have
     /// been held before.
-    pub fn held_now_or_before(&self, now: Time) -> impl Iterator<Item = Fingerprint> {
+    pub fn held_or_released(&self, now: Time) -> impl Iterator<Item = Fingerprint> {
         let records = self.requests.iter();
         let chosen = records.filter(move |(_, r)| r.count() == 0 || self.hold_of(now, r).is_some());
         chosen.map(|(request, _)| *request)
@@ -155,7 +160,7 @@
 
     /// Upstreams whose crashes count for a request.
     #[must_use]
-    pub fn ended_under(&self, request: Fingerprint) -> Vec<Incarnation> {
+    pub fn counted_crashes(&self, request: Fingerprint) -> Vec<Incarnation> {
         let record = self.requests.get(&request);
         record.map_or_else(Vec::new, |r| r.upstreams().cloned().collect())
     }
@@ -167,7 +172,7 @@
             return false;
         }
         for upstream in ended {
-            self.ended(now, request, upstream);
+            self.record_crash(now, request, upstream);
         }
         self.hold(now, request).is_some()
     }
@@ -192,11 +197,11 @@
 
     /// The records of some requests, as sent to other VMs.
     #[must_use]
-    pub fn told_of(&self, now: Time, requests: &[Fingerprint]) -> Vec<Suspect> {
+    pub fn records_of(&self, now: Time, requests: &[Fingerprint]) -> Vec<CrashRecord> {
         let now = self.offset(now);
         let known = requests.iter().filter_map(|&request| {
             let record = self.requests.get(&request)?;
-            Some(record.to_suspect(request, now))
+            Some(record.to_crash_record(request, now))
         });
         known.collect()
     }
@@ -204,13 +209,13 @@
     /// Records sent to a VM whose checksum differs: up to `limit` held requests, most recent
     /// crash first. The VM has just started, was cut off, or missed a datagram.
     #[must_use]
-    pub fn told(&self, now: Time, limit: usize) -> Vec<Suspect> {
+    pub fn held_records(&self, now: Time, limit: usize) -> Vec<CrashRecord> {
         let mut order: Vec<(&Fingerprint, &Record)> = self.with_enough_ends().collect();
         order.sort_unstable_by_key(|(request, r)| std::cmp::Reverse((r.last_at(), **request)));
         let now = self.offset(now);
         let first = order.into_iter().take(limit);
         first
-            .map(|(request, r)| r.to_suspect(*request, now))
+            .map(|(request, r)| r.to_crash_record(*request, now))
             .collect()
     }
 
@@ -221,51 +226,51 @@
     }
 
     /// Merges records of another VM.
-    pub fn hear(&mut self, now: Time, told: &[Suspect]) -> Heard {
-        let mut heard = Heard::default();
-        for suspect in told {
-            let request = suspect.fingerprint;
+    pub fn merge_records(&mut self, now: Time, records: &[CrashRecord]) -> MergeResult {
+        let mut result = MergeResult::default();
+        for received in records {
+            let request = received.fingerprint;
             let was_held = self.hold(now, request).is_some();
-            self.merge(now, suspect);
+            self.merge(now, received);
             if !was_held && self.hold(now, request).is_some() {
-                heard.held.push(request);
+                result.held.push(request);
             }
-            if self.has_newer_run(now, suspect) {
-                heard.known_better.push(request);
+            if self.has_newer_run(now, received) {
+                result.newer_runs.push(request);
             }
         }
-        heard
+        result
     }
 
     /// Whether this VM knows a completed run later than all crashes in the received record,
     /// and the sender does not.
-    fn has_newer_run(&self, now: Time, suspect: &Suspect) -> bool {
-        let record = self.requests.get(&suspect.fingerprint);
+    fn has_newer_run(&self, now: Time, received: &CrashRecord) -> bool {
+        let record = self.requests.get(&received.fingerprint);
         let ran_well = record.and_then(|r| r.ran_well_ago(self.offset(now)));
         let Some(ago) = ran_well else {
             return false;
         };
-        let last = suspect.ends.iter().map(|e| e.ago_ms).min();
-        let there = suspect.ran_well_ago_ms.unwrap_or(u64::MAX);
+        let last = received.ends.iter().map(|e| e.ago_ms).min();
+        let there = received.ran_well_ago_ms.unwrap_or(u64::MAX);
         let ago = ago.as_millis() as u64;
         last.is_some_and(|last| ago < last && there > last)
     }
 
-    fn merge(&mut self, now: Time, suspect: &Suspect) {
+    fn merge(&mut self, now: Time, received: &CrashRecord) {
         let now = self.offset(now);
         let time_of = |ago_ms: u64| now.saturating_sub(Duration::from_millis(ago_ms));
-        let last = suspect.ends.iter().map(|e| e.ago_ms).min();
+        let last = received.ends.iter().map(|e| e.ago_ms).min();
         let is_over = |ago_ms| Duration::from_millis(ago_ms) >= self.settings.hold;
         if last.is_none_or(is_over) {
             return;
         }
-        for end in &suspect.ends {
-            self.record_crash(time_of(end.ago_ms), suspect.fingerprint, &end.upstream);
+        for end in &received.ends {
+            self.record_crash_at(time_of(end.ago_ms), received.fingerprint, &end.upstream);
         }
-        if let Some(ago_ms) = suspect.ran_well_ago_ms
-            && let Some(record) = self.requests.get_mut(&suspect.fingerprint)
+        if let Some(ago_ms) = received.ran_well_ago_ms
+            && let Some(record) = self.requests.get_mut(&received.fingerprint)
         {
-            record.ran_well(time_of(ago_ms));
+            record.record_completed_run(time_of(ago_ms));
             self.cached_checksum.set(None);
         }
     }
--- a/trouttrack_core/src/request/cursor.rs
+++ b/trouttrack_core/src/request/cursor.rs
@@ -20,7 +20,7 @@
 pub enum FrameError {
     /// The frame belongs to another stream.
     #[error("received a frame of stream `{got}` on the connection of stream `{expected}`")]
-    Crossed {
+    OtherStream {
         /// Stream of this request.
         expected: StreamId,
         /// Stream named by the frame.
@@ -129,7 +129,7 @@
 
     fn check(&self, stream: &str, generation: Generation) -> Result<(), FrameError> {
         if stream != self.stream {
-            return Err(FrameError::Crossed {
+            return Err(FrameError::OtherStream {
                 expected: self.stream.clone(),
                 got: stream.to_owned(),
             });
--- a/trouttrack_core/src/request/machine.rs
+++ b/trouttrack_core/src/request/machine.rs
@@ -130,11 +130,11 @@
         };
         self.steps = rest;
         match step {
-            Step::Elsewhere => self.place_again(),
-            Step::Resume | Step::FenceThenElsewhere if !self.traits.resumable => self.next_step(),
+            Step::PlaceAgain => self.place_again(),
+            Step::Resume | Step::FenceThenPlaceAgain if !self.traits.resumable => self.next_step(),
             Step::RunAgain => self.run_again(),
             Step::End(outcome) => StepResult::Ended(self.end(outcome)),
-            Step::Resume | Step::FenceThenElsewhere => StepResult::Try(step),
+            Step::Resume | Step::FenceThenPlaceAgain => StepResult::Try(step),
         }
     }
 
@@ -143,7 +143,7 @@
         if self.attempts_left == 0 {
             return StepResult::Ended(self.give_up());
         }
-        StepResult::Try(Step::Elsewhere)
+        StepResult::Try(Step::PlaceAgain)
     }
 
     fn run_again(&mut self) -> StepResult {
--- a/trouttrack_core/src/request/rule.rs
+++ b/trouttrack_core/src/request/rule.rs
@@ -92,7 +92,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
     /// Place the request on another upstream; nothing has run.
-    Elsewhere,
+    PlaceAgain,
     /// Reattach to the stream by its id, from the first token not yet passed on.
     ///
     /// Skipped when the upstream is not resumable.
@@ -104,7 +104,7 @@
     /// incarnation of the upstream confirms that the id never ran.
     ///
     /// Skipped when the upstream is not resumable.
-    FenceThenElsewhere,
+    FenceThenPlaceAgain,
     /// End with this outcome.
     End(Outcome),
 }
@@ -125,7 +125,7 @@
 use Failure::{Aborted, Lost, NotConnected, Refused};
 use Outcome::{Interrupted, NotRun, Unknown};
 use Phase::{Delivered, HandedOver, Held, Queued};
-use Step::{Elsewhere, End, FenceThenElsewhere, Resume, RunAgain};
+use Step::{End, FenceThenPlaceAgain, PlaceAgain, Resume, RunAgain};
 
 const fn row(
     phase: Phase,
@@ -143,16 +143,16 @@
 
 /// The retry rules. The first matching row applies.
 ///
-/// If no upstream or budget is left for `Elsewhere`, the
+/// If no upstream or budget is left for `PlaceAgain`, the
 /// [`Machine`](super::Machine) ends the request as `not-run`, because nothing has run.
 #[rustfmt::skip]
 pub const RULES: &[Rule] = &[
     // Nothing was sent, or the upstream confirmed that it did not run the request.
-    row(Queued,     &[NotConnected, Refused, Lost, Aborted], Kind::Any,           &[Elsewhere]),
-    row(HandedOver, &[NotConnected, Refused],                Kind::Any,           &[Elsewhere]),
+    row(Queued,     &[NotConnected, Refused, Lost, Aborted], Kind::Any,           &[PlaceAgain]),
+    row(HandedOver, &[NotConnected, Refused],                Kind::Any,           &[PlaceAgain]),
     // Sent, no token received.
     row(HandedOver, &[Lost],                                 Kind::Repeatable,    &[Resume, RunAgain]),
-    row(HandedOver, &[Lost],                                 Kind::NotRepeatable, &[Resume, FenceThenElsewhere, End(Unknown)]),
+    row(HandedOver, &[Lost],                                 Kind::NotRepeatable, &[Resume, FenceThenPlaceAgain, End(Unknown)]),
     row(HandedOver, &[Aborted],                              Kind::Repeatable,    &[RunAgain]),
     row(HandedOver, &[Aborted],                              Kind::NotRepeatable, &[End(Unknown)]),
     // Tokens received, none delivered.
--- a/trouttrack_core/src/rescue/mod.rs
+++ b/trouttrack_core/src/rescue/mod.rs
@@ -30,7 +30,7 @@
 const MIN_NOTICE: Duration = Duration::from_millis(1500);
 /// Maximum age of a report when it is received. Engines have reported their departure up
 /// to half a second after it began.
-pub const REPORT_AGE: Duration = Duration::from_millis(560);
+pub const MAX_REPORT_AGE: Duration = Duration::from_millis(560);
 /// Link time reserved after each pre-copy for the stop-and-copy phase of the generation,
 /// so that its caller does not also wait for the next pre-copy.
 const STOP_AND_COPY_TIME: Duration = Duration::from_millis(40);
@@ -53,8 +53,8 @@
 /// use std::time::Duration;
 /// use trouttrack_core::rescue::Departure;
 /// let ms = Duration::from_millis;
-/// let mut departure = Departure::noticed(ms(1000));
-/// departure.leaves_in(ms(1000), ms(1800));
+/// let mut departure = Departure::from_notice(ms(1000));
+/// departure.set_remaining(ms(1000), ms(1800));
 /// assert_eq!(departure.ends_at(), ms(2800));
 /// ```
 #[derive(Clone, Debug, PartialEq)]
@@ -128,7 +128,7 @@
 impl Departure {
     /// Creates the state of an engine whose notice is received at `now`.
     #[must_use]
-    pub fn noticed(now: Time) -> Self {
+    pub fn from_notice(now: Time) -> Self {
         Self {
             noticed_at: now,
             ends_at: now + MIN_NOTICE,
@@ -139,22 +139,22 @@
     /// Creates the state of an engine that reports its own departure, in a report requested at
     /// `asked_at`.
     #[must_use]
-    pub fn reported(asked_at: Time) -> Self {
-        Self::noticed(asked_at.saturating_sub(REPORT_AGE))
+    pub fn from_report(asked_at: Time) -> Self {
+        Self::from_notice(asked_at.saturating_sub(MAX_REPORT_AGE))
     }
 
     /// Records the remaining time of service from a report requested at `asked_at`. The
-    /// report may be up to [`REPORT_AGE`] old. It was made after the engine had received
+    /// report may be up to [`MAX_REPORT_AGE`] old. It was made after the engine had received
     /// its notice, so it is dated no earlier than the notice.
-    pub fn leaves_in(&mut self, asked_at: Time, left: Duration) {
-        let said_at = asked_at.saturating_sub(REPORT_AGE).max(self.noticed_at);
+    pub fn set_remaining(&mut self, asked_at: Time, left: Duration) {
+        let said_at = asked_at.saturating_sub(MAX_REPORT_AGE).max(self.noticed_at);
         self.ends_at = said_at + left;
     }
 
     /// Records the tokens held by each of the engine's generations, including those of
     /// other VMs. `free_local_tokens` is the free capacity of other engines in its failure
     /// domain, in tokens.
-    pub fn holds(
+    pub fn set_generations(
         &mut self,
         now: Time,
         mut generations: Vec<(RequestId, u64)>,
@@ -190,14 +190,14 @@
     /// Returns the latest time to request stop-and-copy phases, whether or not the link
     /// is idle.
     #[must_use]
-    pub fn last_call(&self) -> Time {
+    pub fn stop_and_copy_deadline(&self) -> Time {
         self.ends_at.saturating_sub(STOP_AND_COPY_RESERVE)
     }
 
     /// Returns the time at which to request the pre-copy of a generation, which is when
     /// the copies before it are expected to be done.
     #[must_use]
-    pub fn begins_at(&self, id: &str) -> Time {
+    pub fn pre_copy_at(&self, id: &str) -> Time {
         let starts_at = |report: &ReportedGenerations| {
             report.first_reported_at + report.scheduled_copy(id).offset
         };
@@ -205,14 +205,15 @@
     }
 
     /// Returns whether the pre-copy of a generation with `tokens` tokens would be done by
-    /// [`last_call`](Self::last_call) if requested at `now`.
+    /// [`stop_and_copy_deadline`](Self::stop_and_copy_deadline) if requested at `now`.
     #[must_use]
-    pub fn fits(&self, now: Time, id: &str, tokens: f64) -> bool {
+    pub fn can_complete(&self, now: Time, id: &str, tokens: f64) -> bool {
         let Some(report) = &self.report else {
-            return now < self.last_call();
+            return now < self.stop_and_copy_deadline();
         };
         let scheduled_copy = report.scheduled_copy(id);
         let starts_at = now.max(report.first_reported_at + scheduled_copy.offset);
-        starts_at + report.copy_duration(tokens, scheduled_copy.same_domain) <= self.last_call()
+        starts_at + report.copy_duration(tokens, scheduled_copy.same_domain)
+            <= self.stop_and_copy_deadline()
     }
 }
--- a/trouttrack_core/src/routing/explain.rs
+++ b/trouttrack_core/src/routing/explain.rs
@@ -41,7 +41,7 @@
 /// ```
 /// use trouttrack_core::routing::ExplanationTable;
 /// let table = ExplanationTable::new(100);
-/// assert!(table.of("r-1").is_empty());
+/// assert!(table.decisions_for("r-1").is_empty());
 /// ```
 #[derive(Debug)]
 pub struct ExplanationTable {
@@ -62,7 +62,7 @@
     }
 
     /// Records a decision. When full, evicts the decisions for the oldest request.
-    pub fn keep(&mut self, request: &str, explanation: Explanation) {
+    pub fn record(&mut self, request: &str, explanation: Explanation) {
         if let Some(list) = self.by_request.get_mut(request) {
             list.push(explanation);
             return;
@@ -79,7 +79,7 @@
 
     /// Returns the decisions for a request, oldest first.
     #[must_use]
-    pub fn of(&self, request: &str) -> &[Explanation] {
+    pub fn decisions_for(&self, request: &str) -> &[Explanation] {
         self.by_request.get(request).map_or(&[], Vec::as_slice)
     }
 }
--- a/trouttrack_core/src/upstream/circuit.rs
+++ b/trouttrack_core/src/upstream/circuit.rs
@@ -30,7 +30,7 @@
 /// use trouttrack_core::upstream::{Circuit, CircuitState};
 /// let mut circuit = Circuit::default();
 /// for _ in 0..5 {
-///     circuit.failed(Duration::ZERO);
+///     circuit.record_failure(Duration::ZERO);
 /// }
 /// assert_eq!(circuit.state(Duration::ZERO), CircuitState::Open);
 /// assert_eq!(circuit.state(Duration::from_secs(1)), CircuitState::HalfOpen);
@@ -43,12 +43,12 @@
 
 impl Circuit {
     /// Records a successful attempt.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
     /// Records an attempt that failed through a fault of the upstream.
-    pub fn failed(&mut self, now: Time) {
+    pub fn record_failure(&mut self, now: Time) {
         self.failures = self.failures.saturating_add(1);
         if self.failures >= FAILURE_THRESHOLD {
             let doublings = (self.failures - FAILURE_THRESHOLD).min(5);
@@ -58,9 +58,9 @@
 
     /// Records an attempt that could not connect, or got no response before its time-out.
     /// Each such attempt costs a caller its response, so the circuit opens immediately.
-    pub fn unreachable(&mut self, now: Time) {
+    pub fn record_unreachable(&mut self, now: Time) {
         self.failures = self.failures.max(FAILURE_THRESHOLD - 1);
-        self.failed(now);
+        self.record_failure(now);
     }
 
     /// Returns when requests may be sent again: `now` unless the circuit is open.
--- a/trouttrack_core/src/upstream/losses.rs
+++ b/trouttrack_core/src/upstream/losses.rs
@@ -33,12 +33,12 @@
 impl Losses {
     /// Records that a connection ended with a request on it before any response, or that the
     /// request was refused.
-    pub(crate) fn lost(&mut self, now: Time) {
+    pub(crate) fn record_loss(&mut self, now: Time) {
         self.lost_at = Some(now);
     }
 
     /// Records that a request was answered.
-    pub(crate) fn answered(&mut self, now: Time) {
+    pub(crate) fn record_answer(&mut self, now: Time) {
         self.answered_at = Some(now);
     }
 
--- a/trouttrack_core/src/upstream/refusals.rs
+++ b/trouttrack_core/src/upstream/refusals.rs
@@ -29,7 +29,7 @@
 impl Refusals {
     /// Records a refusal. Refusals during the backoff are not counted, so that requests that
     /// were sent together and refused together count once.
-    pub(crate) fn refused(&mut self, now: Time) {
+    pub(crate) fn record_refusal(&mut self, now: Time) {
         self.trial_in_flight = false;
         if now < self.backoff_until {
             return;
@@ -40,17 +40,17 @@
     }
 
     /// Records that the upstream has run a request, which resets the backoff.
-    pub(crate) fn ran(&mut self) {
+    pub(crate) fn record_run(&mut self) {
         *self = Self::default();
     }
 
     /// Records that a request was sent.
-    pub(crate) fn sent(&mut self) {
+    pub(crate) fn record_sent(&mut self) {
         self.trial_in_flight = self.consecutive > 0;
     }
 
     /// Records the end of a request, whatever its outcome.
-    pub(crate) fn ended(&mut self) {
+    pub(crate) fn record_end(&mut self) {
         self.trial_in_flight = false;
     }
 
--- a/trouttrack_core/src/upstream/row.rs
+++ b/trouttrack_core/src/upstream/row.rs
@@ -291,7 +291,7 @@
 
     /// Records that a request is handed over.
     pub(crate) fn record_handover(&mut self, now: Time) {
-        self.refusals.sent();
+        self.refusals.record_sent();
         if self.bounded_rate(now).is_some() {
             self.handovers.record_own(now);
         }
@@ -379,7 +379,7 @@
         };
         let begins = new.loaded && !run.loaded;
         if begins {
-            self.refusals.ran();
+            self.refusals.record_run();
         }
         *run = OwnRun {
             loaded: new.loaded || run.loaded,
@@ -392,7 +392,7 @@
         assert_positive(self.own_running, "own_running");
         self.own_running -= 1;
         self.ended_since_report += 1;
-        self.refusals.ended();
+        self.refusals.record_end();
         self.own.retain(|r| r.key != key);
     }
 }
--- a/trouttrack_core/src/world/systems.rs
+++ b/trouttrack_core/src/world/systems.rs
@@ -213,7 +213,9 @@
             Some(tokens) => tokens.saturating_sub(so_far) as f64,
             None => {
                 let quantile = self.settings.growth_quantile;
-                let learned = self.lengths.remaining(s.length_key, so_far, quantile);
+                let learned = self
+                    .lengths
+                    .estimate_remaining(s.length_key, so_far, quantile);
                 match s.guessed_tokens.filter(|&guess| guess > so_far) {
                     Some(guess) => f64::midpoint(learned, (guess - so_far) as f64),
                     None => learned,
@@ -296,7 +298,7 @@
             candidates: notes,
         };
         let id = row.submission.id.clone();
-        self.explanations.keep(&id, explanation);
+        self.explanations.record(&id, explanation);
     }
 
     fn hand_over(&mut self, now: Time, upstream: UpstreamKey, new: OwnRun) -> Decision {
--- a/trouttrack_core/src/world/tables.rs
+++ b/trouttrack_core/src/world/tables.rs
@@ -329,7 +329,9 @@
 
     /// Adds a request to the queue; the next tick decides on it.
     pub fn submit(&mut self, now: Time, submission: Submission) -> RequestKey {
-        let expected = self.lengths.remaining(submission.length_key, 0, 0.5);
+        let expected = self
+            .lengths
+            .estimate_remaining(submission.length_key, 0, 0.5);
         let cost = (submission.prompt_tokens as f64 + expected) / submission.weight.max(1e-3);
         let (class, deadline) = (submission.priority, submission.deadline);
         let organisation = submission.organisation.clone();
@@ -370,7 +372,13 @@
     /// failure that counts against the upstream; `tokens` is the output length of a
     /// complete answer. Returns whether an engine has freed memory, in which case other VMs
     /// are to be notified.
-    pub fn ended(&mut self, now: Time, key: RequestKey, fault: bool, tokens: Option<u64>) -> bool {
+    pub fn record_end(
+        &mut self,
+        now: Time,
+        key: RequestKey,
+        fault: bool,
+        tokens: Option<u64>,
+    ) -> bool {
         let Some(row) = self.requests.remove(key) else {
             return false;
         };
@@ -380,17 +388,17 @@
         };
         self.limits.remove(&row.submission.organisation);
         if let Some(tokens) = tokens {
-            self.lengths.learn(row.submission.length_key, tokens);
+            self.lengths.record(row.submission.length_key, tokens);
         }
         if let Some(u) = self.upstreams.get_mut(upstream) {
             u.remove(key);
             // If neither is known, as when the caller disconnects, earlier failures still count.
             if fault {
-                u.circuit.failed(now);
+                u.circuit.record_failure(now);
             } else if tokens.is_some() {
-                u.circuit.succeeded();
-                u.losses.answered(now);
-                u.refusals.ran();
+                u.circuit.record_success();
+                u.losses.record_answer(now);
+                u.refusals.record_run();
             }
         }
         row.submission.prompt_tokens > 0
@@ -398,10 +406,10 @@
 
     /// Records that the request's upstream could not be reached: no connection, or no
     /// answer in time.
-    pub fn unreachable(&mut self, now: Time, key: RequestKey) {
+    pub fn record_unreachable(&mut self, now: Time, key: RequestKey) {
         let upstream = self.requests.get(key).and_then(|row| row.upstream);
         if let Some(u) = upstream.and_then(|k| self.upstreams.get_mut(k)) {
-            u.circuit.unreachable(now);
+            u.circuit.record_unreachable(now);
         }
     }
 
@@ -410,19 +418,19 @@
     /// shedding by 4 plain upstreams (6 and 7 VMs), 4,940 of 49,651 non-repeatable plain
     /// calls were refused when it counted as a success, and 509 when it did not; the score
     /// rose by 0.08 and 0.05.
-    pub fn refused(&mut self, now: Time, key: RequestKey) {
+    pub fn record_refusal(&mut self, now: Time, key: RequestKey) {
         let upstream = self.requests.get(key).and_then(|row| row.upstream);
         if let Some(u) = upstream.and_then(|k| self.upstreams.get_mut(k)) {
-            u.refusals.refused(now);
-            u.losses.lost(now);
+            u.refusals.record_refusal(now);
+            u.losses.record_loss(now);
         }
     }
 
     /// Records that the attempt's connection closed before any answer.
-    pub fn lost(&mut self, now: Time, key: RequestKey) {
+    pub fn record_loss(&mut self, now: Time, key: RequestKey) {
         let upstream = self.requests.get(key).and_then(|row| row.upstream);
         if let Some(u) = upstream.and_then(|k| self.upstreams.get_mut(k)) {
-            u.losses.lost(now);
+            u.losses.record_loss(now);
         }
     }
 
--- a/trouttrack_core/tests/core/claims.rs
+++ b/trouttrack_core/tests/core/claims.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use trouttrack_core::claims::{
-    Bucket, Claim, ClaimShard, Decided, Plan, ShardLimits, Slot, key_hash, owner,
+    Bucket, Claim, ClaimDecision, ClaimShard, ClaimWrite, ShardLimits, Slot, key_hash, owner,
 };
 
 const LIMITS: ShardLimits = ShardLimits {
@@ -23,7 +23,7 @@
 }
 
 impl Store {
-    fn write(&mut self, plan: &Plan) -> Option<u64> {
+    fn write(&mut self, plan: &ClaimWrite) -> Option<u64> {
         let current = self.objects.get(&plan.slot).map(|(v, _)| *v);
         if current != plan.version {
             return None;
@@ -76,7 +76,7 @@
 /// Attempts a claim. Returns whether the request may run.
 fn attempt(store: &mut Store, shard: &mut ClaimShard, now: Duration, c: &Claim) -> bool {
     let (decided, plan) = shard.plan(now, std::slice::from_ref(c));
-    if decided != [Decided::Ours] {
+    if decided != [ClaimDecision::Ours] {
         return false;
     }
     match plan {
@@ -156,10 +156,10 @@
     store.read_all(&mut shard);
     assert_eq!(
         shard.plan(now, std::slice::from_ref(&c)),
-        (vec![Decided::Ours], None)
+        (vec![ClaimDecision::Ours], None)
     );
     let other = claim(1, 2);
-    assert_eq!(shard.plan(now, &[other]).0, [Decided::Known(c)]);
+    assert_eq!(shard.plan(now, &[other]).0, [ClaimDecision::Known(c)]);
 }
 
 #[test]
@@ -181,7 +181,7 @@
     let shard = ClaimShard::new(LIMITS);
     let (first, second) = (claim(1, 1), claim(1, 2));
     let (decided, plan) = shard.plan(Duration::from_secs(1), &[first.clone(), second]);
-    assert_eq!(decided, [Decided::Ours, Decided::Known(first)]);
+    assert_eq!(decided, [ClaimDecision::Ours, ClaimDecision::Known(first)]);
     assert_eq!(plan.unwrap().bucket.claims.len(), 1);
 }
 
@@ -221,7 +221,7 @@
     };
     assert_eq!(
         shard.plan(now, std::slice::from_ref(&c)).0,
-        [Decided::NoRoom]
+        [ClaimDecision::RingFull]
     );
     // A slot becomes available when the retention of its claims has elapsed.
     let later = now + LIMITS.retention + LIMITS.max_bucket_age * 2;
--- a/trouttrack_core/tests/core/cold.rs
+++ b/trouttrack_core/tests/core/cold.rs
@@ -1,7 +1,7 @@
 //! Rate of requests that a fleet sends to cold upstreams, with random arrivals, delays and
 //! message loss.
 
-use crate::bounded_fleet::{Bounded, Fleet, cold, most_within};
+use crate::rate_limited_fleet::{Fleet, RateLimitKind, cold, max_handovers_within};
 use crate::support::{placed, settings, submission};
 use proptest::prelude::*;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 const DEADLINE_MARGIN: Duration = Duration::from_millis(1);
 
 fn max_in_one_second(sent: &[(String, Duration)]) -> usize {
-    most_within(sent, SECOND)
+    max_handovers_within(sent, SECOND)
 }
 
 fn request_limit() -> usize {
@@ -38,15 +38,15 @@
     fn cold_upstreams_do_not_exceed_sustainable_rate(
         (domains, vms) in prop_oneof![Just((3, 2)), Just((4, 16)), Just((1, 6)), Just((8, 4))],
         upstreams in 1usize..9,
-        asked in 10.0f64..400.0,
+        request_rate in 10.0f64..400.0,
         loss in prop_oneof![Just(0.0), Just(0.02)],
-        in_touch in any::<bool>(),
+        connected in any::<bool>(),
         seed in 0u64..1_000,
     ) {
         let fleet = Fleet {
-            domains, vms, upstreams, bounded: Bounded::Cold(RATE), in_touch, loss, asked
+            domains, vms, upstreams, limit_kind: RateLimitKind::Cold(RATE), connected, loss, request_rate
         };
-        let sent = fleet.play(seed, Duration::from_secs(6));
+        let sent = fleet.simulate(seed, Duration::from_secs(6));
         let max_requests = max_in_one_second(&sent);
         prop_assert!(max_requests <= request_limit(), "{max_requests} requests in one second");
     }
@@ -61,13 +61,13 @@
         domains: 4,
         vms: 16,
         upstreams: 6,
-        bounded: Bounded::Cold(RATE),
-        in_touch: false,
+        limit_kind: RateLimitKind::Cold(RATE),
+        connected: false,
         loss: 0.0,
-        asked: 304.827_684_431_297_8,
+        request_rate: 304.827_684_431_297_8,
     };
     for seed in 70..90 {
-        let max_requests = max_in_one_second(&fleet.play(seed, Duration::from_secs(6)));
+        let max_requests = max_in_one_second(&fleet.simulate(seed, Duration::from_secs(6)));
         assert!(
             max_requests <= request_limit(),
             "{max_requests} requests in one second with seed {seed}"
@@ -82,13 +82,13 @@
         domains,
         vms,
         upstreams: domains,
-        bounded: Bounded::Cold(RATE),
-        in_touch: true,
+        limit_kind: RateLimitKind::Cold(RATE),
+        connected: true,
         loss: 0.0,
-        asked: 10.0 * RATE * domains as f64,
+        request_rate: 10.0 * RATE * domains as f64,
     };
     let seconds = 5;
-    let sent = fleet.play(1, Duration::from_secs(1 + seconds));
+    let sent = fleet.simulate(1, Duration::from_secs(1 + seconds));
     sent.len() as f64 / (RATE * fleet.upstreams as f64 * seconds as f64)
 }
 
@@ -114,12 +114,12 @@
             domains: 6,
             vms: 49,
             upstreams: 1,
-            bounded: Bounded::Cold(LOW),
-            in_touch: true,
+            limit_kind: RateLimitKind::Cold(LOW),
+            connected: true,
             loss: 0.0,
-            asked: 600.0,
+            request_rate: 600.0,
         };
-        let sent = fleet.play(seed, SECOND * (1 + SECONDS as u32));
+        let sent = fleet.simulate(seed, SECOND * (1 + SECONDS as u32));
         let max_requests = (LOW * MAX_RATE_FACTOR * SECONDS as f64 + EXTRA_REQUESTS) as usize;
         let all = sent.len();
         assert!(
@@ -140,12 +140,12 @@
             domains: 6,
             vms: 49,
             upstreams: 6,
-            bounded: Bounded::Cold(RATE),
-            in_touch: seed != 2,
+            limit_kind: RateLimitKind::Cold(RATE),
+            connected: seed != 2,
             loss: 0.01,
-            asked: 600.0,
+            request_rate: 600.0,
         };
-        let max_requests = max_in_one_second(&fleet.play(seed, Duration::from_secs(4)));
+        let max_requests = max_in_one_second(&fleet.simulate(seed, Duration::from_secs(4)));
         assert!(
             max_requests <= request_limit(),
             "{max_requests} requests in one second"
@@ -179,7 +179,7 @@
         wanted.deadline = now + DEADLINE_MARGIN;
         let key = world.submit(now, wanted);
         let sent = !placed(&world.tick(now)).is_empty();
-        world.ended(now, key, false, None);
+        world.record_end(now, key, false, None);
         sent
     };
     assert!((0..100).all(|_| try_place(&mut world, SECOND)));
--- a/trouttrack_core/tests/core/freshness.rs
+++ b/trouttrack_core/tests/core/freshness.rs
@@ -79,7 +79,7 @@
     fn peer_confirmation_is_never_dated_later_than_its_actual_time(x in exchange()) {
         let mut sent = SentTimes::default();
         sent.sent(1, ms(x.sent));
-        let estimated = sent.at_least(1, ms(x.age)).expect("heartbeat 1 was sent");
+        let estimated = sent.earliest_time(1, ms(x.age)).expect("heartbeat 1 was sent");
         prop_assert!(estimated <= x.actual_time());
     }
 
@@ -100,6 +100,6 @@
     for n in 0..100 {
         sent.sent(n, ms(n));
     }
-    assert_eq!(sent.at_least(0, Duration::ZERO), None);
-    assert_eq!(sent.at_least(99, Duration::ZERO), Some(ms(99)));
+    assert_eq!(sent.earliest_time(0, Duration::ZERO), None);
+    assert_eq!(sent.earliest_time(99, Duration::ZERO), Some(ms(99)));
 }
--- a/trouttrack_core/tests/core/known_load.rs
+++ b/trouttrack_core/tests/core/known_load.rs
@@ -132,7 +132,7 @@
         wanted.prompt_tokens = prompt_tokens;
         let key = world.submit(NOW, wanted);
         assert_eq!(placed(&world.tick(NOW)).len(), 1);
-        world.ended(NOW, key, false, Some(10))
+        world.record_end(NOW, key, false, Some(10))
     };
     assert!(end(&mut world, 100));
     assert!(!end(&mut world, 0));
@@ -197,5 +197,5 @@
     );
     let later = NOW + LOOKUP_FINISHED;
     assert_eq!(placed(&receiver.tick(later)).len(), 1);
-    receiver.ended(later, immediate, false, Some(0));
+    receiver.record_end(later, immediate, false, Some(0));
 }
--- a/trouttrack_core/tests/core/main.rs
+++ b/trouttrack_core/tests/core/main.rs
@@ -1,9 +1,7 @@
 //! Tests of the decision logic, which does no I/O.
 
-mod bounded_fleet;
 mod claims;
 mod cold;
-mod duty;
 mod entries;
 mod fleet_budget;
 mod freshness;
@@ -12,10 +10,12 @@
 mod membership;
 mod policies;
 mod quarantine;
+mod rate_limited_fleet;
 mod rate_limits;
 mod relocate;
 mod retry_rule;
 mod support;
 mod upstream_notices;
 mod upstream_table;
+mod watcher_election;
 mod world;
--- a/trouttrack_core/tests/core/membership.rs
+++ b/trouttrack_core/tests/core/membership.rs
@@ -86,8 +86,8 @@
         ..Digest::default()
     };
     let now = Duration::from_secs(1);
-    assert!(peers.heard(now, digest(1, 90, 5)));
-    assert!(!peers.heard(now, digest(1, 89, 9)));
-    assert!(peers.heard(now, digest(2, 1, 2)));
+    assert!(peers.record(now, digest(1, 90, 5)));
+    assert!(!peers.record(now, digest(1, 89, 9)));
+    assert!(peers.record(now, digest(2, 1, 2)));
     assert_eq!(peers.running_at(now, "e"), 2);
 }
--- a/trouttrack_core/tests/core/quarantine.rs
+++ b/trouttrack_core/tests/core/quarantine.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use std::time::Duration;
-use trouttrack_core::quarantine::{Quarantine, QuarantineSettings, Suspect};
+use trouttrack_core::quarantine::{CrashRecord, Quarantine, QuarantineSettings};
 use trouttrack_core::upstream::Incarnation;
 use trouttrack_core::{Fingerprint, Time};
 
@@ -31,7 +31,7 @@
     let mut quarantine = quarantine();
     for n in 1..=3 {
         assert!(quarantine.hold(at(n), FATAL).is_none());
-        assert!(quarantine.ended(at(n), FATAL, &upstream(n)));
+        assert!(quarantine.record_crash(at(n), FATAL, &upstream(n)));
     }
     quarantine
 }
@@ -50,13 +50,13 @@
 fn an_early_crash_does_not_shorten_the_hold() {
     let mut quarantine = quarantine();
     for (n, seconds) in [1, 300, 500].into_iter().enumerate() {
-        quarantine.ended(at(seconds), FATAL, &upstream(n as u64));
+        quarantine.record_crash(at(seconds), FATAL, &upstream(n as u64));
     }
     assert!(quarantine.expire(at(700)).is_empty());
     assert!(quarantine.hold(at(700), FATAL).is_some());
     assert!(quarantine.hold(at(1_099), FATAL).is_some());
     let mut started = self::quarantine();
-    let heard = started.hear(at(1), &quarantine.told(at(1_000), 10));
+    let heard = started.merge_records(at(1), &quarantine.held_records(at(1_000), 10));
     assert_eq!(heard.held, [FATAL]);
     assert_eq!(started.checksum(), quarantine.checksum());
     assert_eq!(quarantine.expire(at(1_100)), [FATAL]);
@@ -65,7 +65,7 @@
 #[test]
 fn a_crash_after_expiry_starts_a_new_hold() {
     let mut quarantine = holding_quarantine();
-    quarantine.ended(at(700), FATAL, &upstream(4));
+    quarantine.record_crash(at(700), FATAL, &upstream(4));
     assert_eq!(quarantine.hold(at(700), FATAL).expect("a hold").left, HOLD);
 }
 
@@ -73,23 +73,23 @@
 fn each_incarnation_counts_once() {
     let mut quarantine = quarantine();
     for _ in 0..5 {
-        quarantine.ended(at(1), FATAL, &Incarnation::new("u1", 100));
+        quarantine.record_crash(at(1), FATAL, &Incarnation::new("u1", 100));
     }
     assert!(quarantine.hold(at(1), FATAL).is_none());
-    quarantine.ended(at(2), FATAL, &Incarnation::new("u1", 200));
-    quarantine.ended(at(3), FATAL, &Incarnation::new("u1", 300));
+    quarantine.record_crash(at(2), FATAL, &Incarnation::new("u1", 200));
+    quarantine.record_crash(at(3), FATAL, &Incarnation::new("u1", 300));
     assert!(quarantine.hold(at(3), FATAL).is_some());
 }
 
 #[test]
 fn a_completed_run_resets_the_count() {
     let mut quarantine = quarantine();
-    quarantine.ended(at(1), HARMLESS, &upstream(1));
-    quarantine.ended(at(2), HARMLESS, &upstream(2));
-    assert!(quarantine.ran_well(at(3), HARMLESS));
-    assert!(!quarantine.ran_well(at(3), HARMLESS));
-    quarantine.ended(at(4), HARMLESS, &upstream(3));
-    quarantine.ended(at(5), HARMLESS, &upstream(4));
+    quarantine.record_crash(at(1), HARMLESS, &upstream(1));
+    quarantine.record_crash(at(2), HARMLESS, &upstream(2));
+    assert!(quarantine.record_completed_run(at(3), HARMLESS));
+    assert!(!quarantine.record_completed_run(at(3), HARMLESS));
+    quarantine.record_crash(at(4), HARMLESS, &upstream(3));
+    quarantine.record_crash(at(5), HARMLESS, &upstream(4));
     assert!(quarantine.hold(at(5), HARMLESS).is_none());
 }
 
@@ -98,12 +98,12 @@
     let mut seen = holding_quarantine();
     let mut other = seen.clone();
     // A run that started before the hold completes.
-    seen.ran_well(at(4), FATAL);
+    seen.record_completed_run(at(4), FATAL);
     assert_ne!(seen.checksum(), other.checksum());
-    let heard = seen.hear(at(5), &other.told(at(5), 10));
-    assert_eq!(heard.known_better, [FATAL]);
-    let answer = other.hear(at(5), &seen.told_of(at(5), &heard.known_better));
-    assert!(answer.known_better.is_empty());
+    let heard = seen.merge_records(at(5), &other.held_records(at(5), 10));
+    assert_eq!(heard.newer_runs, [FATAL]);
+    let answer = other.merge_records(at(5), &seen.records_of(at(5), &heard.newer_runs));
+    assert!(answer.newer_runs.is_empty());
     assert_eq!(seen.checksum(), other.checksum());
     assert!(other.hold(at(5), FATAL).is_none());
 }
@@ -113,13 +113,13 @@
     let mut vms = [quarantine(), quarantine(), quarantine()];
     let mut keeper = quarantine();
     for (n, vm) in vms.iter_mut().enumerate() {
-        vm.ended(at(1), FATAL, &upstream(n as u64));
-        let heard = keeper.hear(at(1), &vm.told_of(at(1), &[FATAL]));
+        vm.record_crash(at(1), FATAL, &upstream(n as u64));
+        let heard = keeper.merge_records(at(1), &vm.records_of(at(1), &[FATAL]));
         assert_eq!(heard.held.is_empty(), n < 2);
         assert_eq!(vm.checksum(), 0);
     }
     for vm in &mut vms {
-        let heard = vm.hear(at(1), &keeper.told(at(1), 10));
+        let heard = vm.merge_records(at(1), &keeper.held_records(at(1), 10));
         assert_eq!(heard.held, [FATAL]);
         assert_eq!(vm.checksum(), keeper.checksum());
     }
@@ -131,7 +131,7 @@
         ends: 0,
         hold: HOLD,
     });
-    assert!(!off.ended(at(1), FATAL, &upstream(1)));
+    assert!(!off.record_crash(at(1), FATAL, &upstream(1)));
     assert!(off.is_empty());
     assert!(off.hold(at(1), FATAL).is_none());
 }
@@ -151,26 +151,30 @@
     let held = holding_quarantine();
     let mut started = quarantine();
     // Its clock starts at 0, long after the crashes.
-    let heard = started.hear(at(1), &held.told(at(60), 10));
+    let heard = started.merge_records(at(1), &held.held_records(at(60), 10));
     assert_eq!(heard.held, [FATAL]);
     assert!(started.hold(at(1), FATAL).is_some());
     // Records whose hold has expired are ignored.
     let mut late = quarantine();
-    assert!(late.hear(at(1), &held.told(at(700), 10)).held.is_empty());
+    assert!(
+        late.merge_records(at(1), &held.held_records(at(700), 10))
+            .held
+            .is_empty()
+    );
     assert!(late.is_empty());
 }
 
 #[test]
 fn events_before_the_vm_started_keep_their_order() {
     let mut seen = quarantine();
-    seen.ran_well(at(1), FATAL);
-    seen.ended(at(2), FATAL, &upstream(0));
-    seen.ran_well(at(3), FATAL);
+    seen.record_completed_run(at(1), FATAL);
+    seen.record_crash(at(2), FATAL, &upstream(0));
+    seen.record_completed_run(at(3), FATAL);
     for n in 1..=3 {
-        seen.ended(at(3 + n), FATAL, &upstream(n));
+        seen.record_crash(at(3 + n), FATAL, &upstream(n));
     }
     let mut started = quarantine();
-    started.hear(at(1), &seen.told(at(60), 10));
+    started.merge_records(at(1), &seen.held_records(at(60), 10));
     assert_eq!(started.hold(at(1), FATAL).expect("a hold").ends, 3);
 }
 
@@ -179,7 +183,7 @@
 fn the_table_is_bounded_and_keeps_requests_with_most_crashes() {
     let mut quarantine = holding_quarantine();
     for request in 100..20_000 {
-        quarantine.ended(at(10), request, &upstream(9));
+        quarantine.record_crash(at(10), request, &upstream(9));
     }
     assert!(quarantine.len() <= 2048);
     assert!(quarantine.hold(at(10), FATAL).is_some());
@@ -214,30 +218,30 @@
     #[test]
     fn vms_converge_after_a_full_exchange(steps in prop::collection::vec(step(), 1..80)) {
         let mut vms = vec![quarantine(); VMS];
-        let mut messages: Vec<(u64, Vec<Suspect>)> = Vec::new();
+        let mut messages: Vec<(u64, Vec<CrashRecord>)> = Vec::new();
         let mut ended = std::collections::BTreeSet::new();
         let mut now = 1;
         for step in steps {
             now += 1;
             match step {
                 Step::Ended(vm, request, n) => {
-                    vms[vm].ended(at(now), request, &upstream(n));
+                    vms[vm].record_crash(at(now), request, &upstream(n));
                     if request == 1 {
                         ended.insert(n);
                     }
                 }
                 Step::RanWell(vm, request) => {
-                    vms[vm].ran_well(at(now), request);
+                    vms[vm].record_completed_run(at(now), request);
                 }
                 Step::Send(from, to) => {
-                    let told = vms[from].told_of(at(now), &[1, 2, 3]);
-                    vms[to].hear(at(now), &told);
-                    vms[to].hear(at(now), &told);
+                    let told = vms[from].records_of(at(now), &[1, 2, 3]);
+                    vms[to].merge_records(at(now), &told);
+                    vms[to].merge_records(at(now), &told);
                     messages.push((now, told));
                 }
                 Step::Replay(to) => {
                     if let Some((_, told)) = messages.first() {
-                        vms[to].hear(at(now), told);
+                        vms[to].merge_records(at(now), told);
                     }
                 }
             }
@@ -245,8 +249,8 @@
         for _ in 0..2 {
             for from in 0..VMS {
                 for to in 0..VMS {
-                    let told = vms[from].told_of(at(now), &[1, 2, 3]);
-                    vms[to].hear(at(now), &told);
+                    let told = vms[from].records_of(at(now), &[1, 2, 3]);
+                    vms[to].merge_records(at(now), &told);
                 }
             }
         }
@@ -262,8 +266,8 @@
         let mut vm = quarantine();
         for n in 0..turns {
             match n % 3 {
-                2 => { vm.ran_well(at(n + 1), HARMLESS); }
-                _ => { vm.ended(at(n + 1), HARMLESS, &upstream(n)); }
+                2 => { vm.record_completed_run(at(n + 1), HARMLESS); }
+                _ => { vm.record_crash(at(n + 1), HARMLESS, &upstream(n)); }
             }
             prop_assert!(vm.hold(at(n + 1), HARMLESS).is_none());
         }
--- a/trouttrack_core/tests/core/bounded_fleet.rs
+++ b/trouttrack_core/tests/core/rate_limited_fleet.rs
@@ -22,11 +22,11 @@
 
 /// Reason for which the rate of an upstream is limited.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Bounded {
+pub(crate) enum RateLimitKind {
     /// The upstream is cold and can handle this many requests per second.
     Cold(f64),
     /// The upstream has announced a limit of this many requests per second.
-    Named(f64),
+    Announced(f64),
 }
 
 /// An upstream that stays cold for the whole test.
@@ -40,7 +40,7 @@
 }
 
 /// The announcement of an upstream whose limit is `per_second` requests per second.
-pub(crate) fn takes(now: Time, per_second: f64) -> UpstreamNotice {
+pub(crate) fn limit_notice(now: Time, per_second: f64) -> UpstreamNotice {
     let limit = RateLimit::PerSecond(per_second);
     UpstreamNotice::RateLimit(RateStatement::new(limit, now, now))
 }
@@ -56,24 +56,24 @@
     /// Number of VMs in each failure domain.
     pub(crate) vms: usize,
     pub(crate) upstreams: usize,
-    pub(crate) bounded: Bounded,
+    pub(crate) limit_kind: RateLimitKind,
     /// Whether VMs receive each other's load updates.
-    pub(crate) in_touch: bool,
+    pub(crate) connected: bool,
     /// Fraction of datagrams that are lost.
     pub(crate) loss: f64,
     /// Requests per second across all VMs.
-    pub(crate) asked: f64,
+    pub(crate) request_rate: f64,
 }
 
 impl Fleet {
     /// Simulates the fleet for a duration and returns the upstream and time of each dispatch.
-    pub(crate) fn play(self, seed: u64, duration: Time) -> Vec<(String, Time)> {
+    pub(crate) fn simulate(self, seed: u64, duration: Time) -> Vec<(String, Time)> {
         Simulation::new(self, seed).run(duration)
     }
 }
 
 /// Returns the maximum number of dispatches to one upstream within any window.
-pub(crate) fn most_within(dispatches: &[(String, Time)], window: Time) -> usize {
+pub(crate) fn max_handovers_within(dispatches: &[(String, Time)], window: Time) -> usize {
     let count_from = |(id, at): &(String, Time)| {
         let in_window = |(other, t): &&(String, Time)| other == id && t >= at && *t < *at + window;
         dispatches.iter().filter(in_window).count()
@@ -111,19 +111,19 @@
             });
             let upstream = |n: usize| {
                 let (id, home_domain) = (format!("u{n}"), domain(n % fleet.domains));
-                match fleet.bounded {
-                    Bounded::Cold(rate) => cold(&id, &home_domain, rate),
-                    Bounded::Named(_) => spec(&id, &home_domain, 0, 1_000),
+                match fleet.limit_kind {
+                    RateLimitKind::Cold(rate) => cold(&id, &home_domain, rate),
+                    RateLimitKind::Announced(_) => spec(&id, &home_domain, 0, 1_000),
                 }
             };
             world.configure((0..fleet.upstreams).map(upstream).collect());
-            if let Bounded::Named(rate) = fleet.bounded {
+            if let RateLimitKind::Announced(rate) = fleet.limit_kind {
                 for n in 0..fleet.upstreams {
                     let life = Incarnation::new(&format!("u{n}"), 0);
-                    world.receive_notice(Time::ZERO, &life, takes(Time::ZERO, rate));
+                    world.receive_notice(Time::ZERO, &life, limit_notice(Time::ZERO, rate));
                 }
             }
-            let heard = if fleet.in_touch { fleet.vms } else { 1 };
+            let heard = if fleet.connected { fleet.vms } else { 1 };
             world.set_rate_share(RateShare::of(heard, fleet.vms, all));
             world
         };
@@ -143,7 +143,7 @@
     }
 
     fn schedule_arrival(&mut self, now: Time) {
-        let pause = -self.rng.random_range(f64::EPSILON..1.0).ln() / self.fleet.asked;
+        let pause = -self.rng.random_range(f64::EPSILON..1.0).ln() / self.fleet.request_rate;
         self.schedule(now + Duration::from_secs_f64(pause), Event::Arrival);
     }
 
@@ -178,8 +178,8 @@
             self.dispatches.push((upstream.clone(), now));
         }
         // The request completes immediately, so that only the rate is limiting.
-        world.ended(now, key, false, None);
-        if !decided.is_empty() && self.fleet.in_touch {
+        world.record_end(now, key, false, None);
+        if !decided.is_empty() && self.fleet.connected {
             self.send_update(now, vm);
         }
     }
--- a/trouttrack_core/tests/core/rate_limits.rs
+++ b/trouttrack_core/tests/core/rate_limits.rs
@@ -2,7 +2,7 @@
 //!
 //! Guards against VMs together exceeding an announced limit that they know of.
 
-use crate::bounded_fleet::{Bounded, Fleet, most_within, takes};
+use crate::rate_limited_fleet::{Fleet, RateLimitKind, limit_notice, max_handovers_within};
 use crate::support::{placed, settings, spec, submission};
 use proptest::prelude::*;
 use std::time::Duration;
@@ -28,9 +28,9 @@
 
 /// Returns the maximum number of requests that an upstream gets within `WINDOW` in a simulation.
 fn max_in_window(fleet: Fleet, seed: u64) -> usize {
-    let mut sent = fleet.play(seed, START + 3 * WINDOW);
+    let mut sent = fleet.simulate(seed, START + 3 * WINDOW);
     sent.retain(|(_, at)| *at > START + APPLIED_WITHIN);
-    most_within(&sent, WINDOW)
+    max_handovers_within(&sent, WINDOW)
 }
 
 proptest! {
@@ -46,13 +46,13 @@
         (domains, vms) in prop_oneof![Just((3, 2)), Just((4, 16)), Just((1, 6)), Just((8, 4))],
         upstreams in 1usize..9,
         per_second in prop_oneof![0.2f64..4.0, 4.0f64..30.0],
-        asked in 10.0f64..400.0,
+        request_rate in 10.0f64..400.0,
         loss in prop_oneof![Just(0.0), Just(0.02)],
-        in_touch in any::<bool>(),
+        connected in any::<bool>(),
         seed in 0u64..1_000,
     ) {
-        let bounded = Bounded::Named(per_second);
-        let fleet = Fleet { domains, vms, upstreams, bounded, in_touch, loss, asked };
+        let limit_kind = RateLimitKind::Announced(per_second);
+        let fleet = Fleet { domains, vms, upstreams, limit_kind, connected, loss, request_rate };
         let max_requests = max_in_window(fleet, seed);
         prop_assert!(max_requests <= request_limit(per_second), "{max_requests} requests, limit {}", request_limit(per_second));
     }
@@ -65,10 +65,10 @@
             domains: 6,
             vms: 49,
             upstreams: 6,
-            bounded: Bounded::Named(per_second),
-            in_touch: seed != 2,
+            limit_kind: RateLimitKind::Announced(per_second),
+            connected: seed != 2,
             loss: 0.01,
-            asked: 600.0,
+            request_rate: 600.0,
         };
         let max_requests = max_in_window(fleet, seed);
         assert!(
@@ -99,7 +99,7 @@
         wanted.deadline = now + Duration::from_millis(1);
         let key = world.submit(now, wanted);
         count += placed(&world.tick(now)).len();
-        world.ended(now, key, false, None);
+        world.record_end(now, key, false, None);
     }
     count
 }
@@ -111,7 +111,7 @@
         UpstreamNotice::RateLimit(RateStatement::new(RateLimit::Unlimited, asked_at, heard_at))
     };
     let mut world = world_with_one_upstream();
-    world.receive_notice(NOW, &incarnation(), takes(NOW, 2.0));
+    world.receive_notice(NOW, &incarnation(), limit_notice(NOW, 2.0));
     world.receive_notice(NOW, &incarnation(), unlimited(NOW - SECOND));
     assert!(
         place_requests(&mut world, NOW, 20) < 4,
@@ -120,7 +120,7 @@
     world.receive_notice(NOW, &incarnation(), unlimited(NOW + SECOND / 2));
     assert_eq!(place_requests(&mut world, NOW + SECOND, 20), 20);
     // The upstream announces another limit, which does not apply to the next incarnation.
-    world.receive_notice(NOW, &incarnation(), takes(NOW + 2 * SECOND, 3.0));
+    world.receive_notice(NOW, &incarnation(), limit_notice(NOW + 2 * SECOND, 3.0));
     let later = NOW + 4 * SECOND;
     assert!(place_requests(&mut world, later, 20) < 5);
     let mut next = spec("u", "a", 0, 1_000);
@@ -132,7 +132,7 @@
 #[test]
 fn upstream_with_limit_of_zero_gets_occasional_trial_requests() {
     let mut world = world_with_one_upstream();
-    world.receive_notice(NOW, &incarnation(), takes(NOW, 0.0));
+    world.receive_notice(NOW, &incarnation(), limit_notice(NOW, 0.0));
     let trials = (0..600).map(|s| place_requests(&mut world, NOW + SECOND * s, 5));
     let trials: usize = trials.sum();
     assert!(
@@ -143,8 +143,9 @@
 
 #[test]
 fn extreme_limits_admit_all_or_almost_no_requests() {
-    let announce =
-        |world: &mut World, rate| world.receive_notice(NOW, &incarnation(), takes(NOW, rate));
+    let announce = |world: &mut World, rate| {
+        world.receive_notice(NOW, &incarnation(), limit_notice(NOW, rate))
+    };
     for huge in [1e6, f64::MAX] {
         let mut world = world_with_one_upstream();
         announce(&mut world, huge);
@@ -166,7 +167,7 @@
 fn requests_beyond_limit_are_refused_immediately() {
     const REQUESTS: usize = 100;
     let mut world = world_with_one_upstream();
-    world.receive_notice(NOW, &incarnation(), takes(NOW, 2.0));
+    world.receive_notice(NOW, &incarnation(), limit_notice(NOW, 2.0));
     for _ in 0..REQUESTS {
         let mut wanted = submission("r", "o", 1);
         wanted.prompt_tokens = 0;
--- a/trouttrack_core/tests/core/relocate.rs
+++ b/trouttrack_core/tests/core/relocate.rs
@@ -61,7 +61,7 @@
     assert_eq!((used.upstream.as_str(), used.running), ("other", 1));
     // The request also ends if the source has been removed in the meantime.
     world.configure(vec![engine("other", "a", 50_000)]);
-    world.ended(NOW, key, false, Some(10));
+    world.record_end(NOW, key, false, Some(10));
     assert!(world.local_uses(NOW).is_empty());
 }
 
@@ -81,67 +81,70 @@
     }
 }
 
-/// A departure noticed at 1 s whose final parts are requested by `last_call` ms.
-fn departure(last_call: u64, near_room: f64) -> Departure {
-    let mut departure = Departure::noticed(ms(1000));
-    departure.leaves_in(ms(1000), ms(1000));
-    let before_end = ms(2000) - departure.last_call();
-    departure.leaves_in(ms(1000), ms(last_call) + before_end - ms(1000));
+/// A departure noticed at 1 s whose final parts are requested by `stop_and_copy_deadline` ms.
+fn departure(stop_and_copy_deadline: u64, near_room: f64) -> Departure {
+    let mut departure = Departure::from_notice(ms(1000));
+    departure.set_remaining(ms(1000), ms(1000));
+    let before_end = ms(2000) - departure.stop_and_copy_deadline();
+    departure.set_remaining(ms(1000), ms(stop_and_copy_deadline) + before_end - ms(1000));
     let held = [("large", 8000), ("small", 2000), ("mid", 4000)];
     let held = held.map(|(id, tokens)| (id.to_owned(), tokens));
-    departure.holds(ms(1000), held.to_vec(), &engine_spec(), near_room);
+    departure.set_generations(ms(1000), held.to_vec(), &engine_spec(), near_room);
     departure
 }
 
 #[test]
 fn every_copy_fits_before_the_first_report() {
-    let departure = Departure::noticed(ms(1000));
-    assert!(departure.fits(ms(1000), "any", 9e9));
-    assert!(!departure.fits(ms(9000), "any", 1.0));
+    let departure = Departure::from_notice(ms(1000));
+    assert!(departure.can_complete(ms(1000), "any", 9e9));
+    assert!(!departure.can_complete(ms(9000), "any", 1.0));
 }
 
 #[test]
 fn a_copy_that_takes_too_long_does_not_fit() {
     // The copies take slightly more than 200 and 400 ms.
     let one = departure(1700, 1e9);
-    assert!(one.fits(ms(1000), "small", 2000.0));
-    assert!(one.fits(ms(1000), "mid", 4000.0));
-    assert!(!one.fits(ms(1000), "large", 8000.0));
+    assert!(one.can_complete(ms(1000), "small", 2000.0));
+    assert!(one.can_complete(ms(1000), "mid", 4000.0));
+    assert!(!one.can_complete(ms(1000), "large", 8000.0));
     // A request missing in the report comes last.
-    assert!(!one.fits(ms(1000), "new", 100.0));
+    assert!(!one.can_complete(ms(1000), "new", 100.0));
     // Its turn has passed, and too little time is left.
-    assert!(!one.fits(ms(1600), "small", 2000.0));
+    assert!(!one.can_complete(ms(1600), "small", 2000.0));
     let more = departure(3000, 1e9);
-    assert!(more.fits(ms(1000), "large", 8000.0));
+    assert!(more.can_complete(ms(1000), "large", 8000.0));
 }
 
 #[test]
 fn copies_are_scheduled_one_after_another() {
     let mut departure = departure(3000, 1e9);
-    assert_eq!(departure.begins_at("small"), ms(1000));
+    assert_eq!(departure.pre_copy_at("small"), ms(1000));
     // The copy of `small` takes slightly more than 200 ms, followed by its final part, which
     // must not wait for the next copy.
-    let mid = departure.begins_at("mid");
+    let mid = departure.pre_copy_at("mid");
     assert!((ms(1230)..ms(1300)).contains(&mid), "{mid:?}");
-    let large = departure.begins_at("large");
+    let large = departure.pre_copy_at("large");
     assert!((ms(1660)..ms(1800)).contains(&large), "{large:?}");
     // A second report changes the list of requests, not the start of the schedule.
     let left = vec![("mid".to_owned(), 4000), ("large".to_owned(), 8000)];
-    departure.holds(ms(1600), left, &engine_spec(), 1e9);
-    assert_eq!(departure.begins_at("mid"), ms(1000));
+    departure.set_generations(ms(1600), left, &engine_spec(), 1e9);
+    assert_eq!(departure.pre_copy_at("mid"), ms(1000));
 }
 
 #[test]
 fn copies_start_at_once_before_the_first_report() {
-    assert_eq!(Departure::noticed(ms(1000)).begins_at("any"), ms(1000));
+    assert_eq!(
+        Departure::from_notice(ms(1000)).pre_copy_at("any"),
+        ms(1000)
+    );
 }
 
 #[test]
 fn copies_to_another_failure_domain_take_twice_as_long() {
     // There is room for `small` only, so `mid` takes 800 ms.
-    assert!(!departure(1900, 3000.0).fits(ms(1000), "mid", 4000.0));
-    assert!(departure(2200, 3000.0).fits(ms(1000), "mid", 4000.0));
-    assert!(!departure(1300, 0.0).fits(ms(1000), "small", 2000.0));
+    assert!(!departure(1900, 3000.0).can_complete(ms(1000), "mid", 4000.0));
+    assert!(departure(2200, 3000.0).can_complete(ms(1000), "mid", 4000.0));
+    assert!(!departure(1300, 0.0).can_complete(ms(1000), "small", 2000.0));
 }
 
 #[test]
--- a/trouttrack_core/tests/core/retry_rule.rs
+++ b/trouttrack_core/tests/core/retry_rule.rs
@@ -160,7 +160,7 @@
                     }
                     result = machine.step_failed();
                 }
-                StepResult::Try(Step::FenceThenElsewhere) => {
+                StepResult::Try(Step::FenceThenPlaceAgain) => {
                     result = if actually_ran {
                         machine.step_failed()
                     } else {
@@ -171,7 +171,7 @@
                     truth.held.clear();
                     break None;
                 }
-                StepResult::Try(Step::Elsewhere | Step::End(_)) => break None,
+                StepResult::Try(Step::PlaceAgain | Step::End(_)) => break None,
             }
         };
         let end = match (fault, end) {
--- a/trouttrack_core/tests/core/upstream_notices.rs
+++ b/trouttrack_core/tests/core/upstream_notices.rs
@@ -27,7 +27,7 @@
     new.deadline = now + SECOND;
     let key = world.submit(now, new);
     let placed = placed(&world.tick(now));
-    world.ended(now, key, false, None);
+    world.record_end(now, key, false, None);
     placed.into_iter().next().map(|(_, upstream)| upstream)
 }
 
--- a/trouttrack_core/tests/core/upstream_table.rs
+++ b/trouttrack_core/tests/core/upstream_table.rs
@@ -104,7 +104,7 @@
     }]
 }
 
-fn is_open(world: &trouttrack_core::world::World, id: &str, now: Duration) -> bool {
+fn is_available(world: &trouttrack_core::world::World, id: &str, now: Duration) -> bool {
     let key = world.upstreams.key(id).expect("a row");
     world
         .upstreams
@@ -116,10 +116,10 @@
 fn upstream_is_suspected_briefly_after_losses_at_two_vms() {
     let mut world = world("trouttrack", vec![named(1, false)]);
     world.record_peer_uses(SECOND, "p", HOME, &lost("e01", 0));
-    assert!(is_open(&world, "e01", SECOND));
+    assert!(is_available(&world, "e01", SECOND));
     world.record_peer_uses(SECOND, "q", HOME, &lost("e01", 100));
-    assert!(!is_open(&world, "e01", SECOND));
-    assert!(is_open(&world, "e01", 2 * SECOND));
+    assert!(!is_available(&world, "e01", SECOND));
+    assert!(is_available(&world, "e01", 2 * SECOND));
 }
 
 #[test]
@@ -131,10 +131,10 @@
         request
     };
     let request = place(&mut world);
-    world.lost(SECOND, request);
-    world.ended(SECOND, request, true, None);
+    world.record_loss(SECOND, request);
+    world.record_end(SECOND, request, true, None);
     world.record_peer_uses(SECOND, "p", HOME, &lost("e01", 50));
-    assert!(!is_open(&world, "e01", SECOND));
+    assert!(!is_available(&world, "e01", SECOND));
     // Its own report to peers.
     assert_eq!(world.local_uses(SECOND)[0].lost_ms, Some(0));
     let later = SECOND + Duration::from_millis(600);
@@ -142,10 +142,10 @@
     // After an answered request, earlier losses of peers do not count.
     let request = world.submit(later, submission("r2", "o", 1));
     world.tick(later);
-    world.ended(later, request, false, Some(1));
+    world.record_end(later, request, false, Some(1));
     world.record_peer_uses(later, "p", HOME, &lost("e01", 50));
     world.record_peer_uses(later, "q", HOME, &lost("e01", 50));
-    assert!(is_open(&world, "e01", later));
+    assert!(is_available(&world, "e01", later));
 }
 
 #[test]
@@ -154,5 +154,5 @@
     for peer in ["p", "q", "r"] {
         world.record_peer_uses(SECOND, peer, "b", &lost("e01", 0));
     }
-    assert!(is_open(&world, "e01", SECOND));
+    assert!(is_available(&world, "e01", SECOND));
 }
--- a/trouttrack_core/tests/core/duty.rs
+++ b/trouttrack_core/tests/core/watcher_election.rs
@@ -5,7 +5,9 @@
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 use trouttrack_core::Time;
-use trouttrack_core::membership::{Contact, Duty, Standing, watchers_pause};
+use trouttrack_core::membership::{
+    Precedence, StoreReachability, WatcherElection, watcher_heartbeat_interval,
+};
 
 /// Number of VMs in the failure domain, in a fleet of six failure domains of this size.
 const VMS: usize = 49;
@@ -27,8 +29,8 @@
 const SETTLING_INTERVALS: u32 = 6;
 
 struct Vm {
-    duty: Duty,
-    contact: Contact,
+    election: WatcherElection,
+    reachability: StoreReachability,
     alive: bool,
     /// Whether other VMs consider it alive.
     presumed_alive: bool,
@@ -50,8 +52,8 @@
     fn with_vms(vms: usize, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let vms = (0..vms).map(|_| Vm {
-            duty: Duty::default(),
-            contact: Contact::Answered,
+            election: WatcherElection::default(),
+            reachability: StoreReachability::Answered,
             alive: true,
             presumed_alive: true,
             next_heartbeat: Duration::from_millis(rng.random_range(0..300)),
@@ -63,17 +65,17 @@
         }
     }
 
-    fn standing(&self, i: usize) -> Standing {
-        Standing::new(&format!("front-{i}"), self.vms[i].contact)
+    fn precedence(&self, i: usize) -> Precedence {
+        Precedence::new(&format!("front-{i}"), self.vms[i].reachability)
     }
 
     fn watchers(&self) -> Vec<usize> {
-        let holds = |i: &usize| self.vms[*i].alive && self.vms[*i].duty.holds();
+        let holds = |i: &usize| self.vms[*i].alive && self.vms[*i].election.is_watcher();
         (0..self.vms.len()).filter(holds).collect()
     }
 
     fn pause(&self) -> Duration {
-        watchers_pause(DOMAINS * self.vms.len())
+        watcher_heartbeat_interval(DOMAINS * self.vms.len())
     }
 
     fn run(&mut self, intervals: u32) {
@@ -95,16 +97,17 @@
     fn step(&mut self) {
         let pause = self.pause();
         let vms = self.vms.len();
-        let standings: Vec<Standing> = (0..vms).map(|i| self.standing(i)).collect();
+        let precedences: Vec<Precedence> = (0..vms).map(|i| self.precedence(i)).collect();
         self.now += DECISION_INTERVAL;
         for i in 0..vms {
             if !self.vms[i].alive {
                 continue;
             }
-            let before = |j: &usize| self.vms[*j].presumed_alive && standings[*j] > standings[i];
+            let before =
+                |j: &usize| self.vms[*j].presumed_alive && precedences[*j] > precedences[i];
             let before = (0..vms).filter(before).count();
-            let held = self.vms[i].duty.holds();
-            let holds = self.vms[i].duty.decide(self.now, before, pause);
+            let held = self.vms[i].election.is_watcher();
+            let holds = self.vms[i].election.decide(self.now, before, pause);
             if holds && (!held || self.now >= self.vms[i].next_heartbeat) {
                 self.vms[i].next_heartbeat = self.now + pause;
                 self.announce(i);
@@ -113,11 +116,11 @@
     }
 
     fn announce(&mut self, from: usize) {
-        let standing = self.standing(from);
+        let precedence = self.precedence(from);
         for to in 0..self.vms.len() {
             let lost = self.rng.random_bool(LOSS);
-            if to != from && !lost && standing > self.standing(to) {
-                self.vms[to].duty.claimed(self.now);
+            if to != from && !lost && precedence > self.precedence(to) {
+                self.vms[to].election.announcement_received(self.now);
             }
         }
     }
@@ -153,11 +156,14 @@
         let mut domain = Domain::start(seed);
         domain.run(SETTLING_INTERVALS);
         let watcher = domain.watchers()[0];
-        domain.vms[watcher].contact = Contact::Unreachable;
+        domain.vms[watcher].reachability = StoreReachability::Unreachable;
         domain.run(SETTLING_INTERVALS);
         let watchers = domain.watchers();
         assert_eq!(watchers.len(), 1, "seed {seed}");
-        assert_eq!(domain.vms[watchers[0]].contact, Contact::Answered);
+        assert_eq!(
+            domain.vms[watchers[0]].reachability,
+            StoreReachability::Answered
+        );
     }
 }
 
@@ -167,7 +173,7 @@
         let mut domain = Domain::start(seed);
         domain.run(SETTLING_INTERVALS);
         for vm in &mut domain.vms {
-            vm.contact = Contact::Unreachable;
+            vm.reachability = StoreReachability::Unreachable;
         }
         domain.run(SETTLING_INTERVALS);
         assert_eq!(domain.watchers().len(), 1, "seed {seed}");
@@ -179,7 +185,7 @@
     let mut domain = Domain::start(7);
     for vm in &mut domain.vms {
         // Each VM considered itself the only one.
-        vm.duty
+        vm.election
             .decide(Duration::from_secs(60), 0, DECISION_INTERVAL);
     }
     domain.now = Duration::from_secs(60);
--- a/trouttrack_core/tests/core/world.rs
+++ b/trouttrack_core/tests/core/world.rs
@@ -33,7 +33,7 @@
     let mut placed_at = |now: Duration| {
         let request = world.submit(now, submission("r", "o", 1));
         let placed = placed(&world.tick(now));
-        world.ended(now, request, false, None);
+        world.record_end(now, request, false, None);
         placed[0].1.clone()
     };
     // The interval is long enough for each prompt to be loaded before the next request.
@@ -137,7 +137,7 @@
     let first = placed(&world.tick(SECOND));
     assert_eq!(first.len(), 3);
     let key = first[0].0;
-    world.ended(SECOND, key, false, Some(10));
+    world.record_end(SECOND, key, false, Some(10));
     assert_eq!(placed(&world.tick(SECOND)).len(), 1);
 }
 
@@ -149,7 +149,7 @@
     for i in 0..5 {
         let key = world.submit(SECOND, submission(&format!("r{i}"), "o", 1));
         assert_eq!(placed(&world.tick(SECOND))[0].1, "e2");
-        world.ended(SECOND, key, true, None);
+        world.record_end(SECOND, key, true, None);
     }
     // Five failures in a row have opened the circuit of the only remaining upstream.
     world.submit(SECOND, submission("waits", "o", 1));
@@ -189,10 +189,10 @@
     }
     world.tick(SECOND);
     assert!(
-        world.explanations.of("r0").is_empty(),
+        world.explanations.decisions_for("r0").is_empty(),
         "the oldest explanation is dropped"
     );
-    let kept = world.explanations.of("r4999");
+    let kept = world.explanations.decisions_for("r4999");
     assert_eq!(kept[0].chosen.as_deref(), Some("e"));
     assert_eq!(kept[0].candidates.len(), 1);
 }
@@ -214,7 +214,7 @@
         let (key, _) = placed(&world.tick(SECOND))[0].clone();
         let row = world.requests().find(|(k, _)| *k == key).unwrap().1;
         heavy += usize::from(row.submission.organisation == "heavy");
-        world.ended(SECOND, key, false, None);
+        world.record_end(SECOND, key, false, None);
     }
     assert!(
         (70..=80).contains(&heavy),
@@ -234,7 +234,7 @@
             world.submit(now, submission(&format!("u{second}-{i}"), "flood", 0));
         }
         if let Some(key) = running.take() {
-            world.ended(now, key, false, None);
+            world.record_end(now, key, false, None);
         }
         running = placed(&world.tick(now)).first().map(|(k, _)| *k);
         if running == Some(low) {
@@ -302,7 +302,7 @@
                 }
                 Event::End { which, fault } if !running.is_empty() => {
                     let key = running.swap_remove(which.index(running.len()));
-                    world.ended(now, key, fault, Some(50));
+                    world.record_end(now, key, fault, Some(50));
                 }
                 Event::End { .. } => {}
                 Event::Report { upstream, running } => {
@@ -321,7 +321,7 @@
                     Decision::Refuse { request, .. } => {
                         prop_assert!(!running.contains(&request));
                         refused += 1;
-                        world.ended(now, request, false, None);
+                        world.record_end(now, request, false, None);
                     }
                 }
             }
@@ -329,7 +329,7 @@
             prop_assert_eq!(known, world.queued() + running.len());
         }
         for key in running.drain(..) {
-            world.ended(now, key, false, Some(50));
+            world.record_end(now, key, false, Some(50));
         }
         let own: usize = world.upstreams.iter().map(|(_, u)| u.own_running).sum();
         prop_assert_eq!(own, 0);
@@ -378,7 +378,7 @@
     // The upstream is unreachable, which opens its circuit for half a second.
     let lost = submit(&mut world, 2 * SECOND);
     world.tick(SECOND);
-    world.unreachable(SECOND, lost);
+    world.record_unreachable(SECOND, lost);
     let short_deadline = submit(&mut world, SECOND + ms(90));
     let long_deadline = submit(&mut world, SECOND + ms(900));
     let decisions = world.tick(SECOND);
@@ -398,7 +398,7 @@
     );
     assert_eq!(*retry_after, ms(500));
     // The other request is placed when the circuit admits a trial request.
-    world.ended(SECOND + ms(400), lost, false, None);
+    world.record_end(SECOND + ms(400), lost, false, None);
     assert_eq!(placed(&world.tick(SECOND + ms(600)))[0].0, long_deadline);
 }
 
@@ -418,7 +418,7 @@
     let run_one = |world: &mut World, fault, tokens| {
         let key = world.submit(SECOND, submission("r", "o", 1));
         world.tick(SECOND);
-        world.ended(SECOND, key, fault, tokens);
+        world.record_end(SECOND, key, fault, tokens);
     };
     for _ in 0..4 {
         run_one(&mut world, true, None);
--- a/trouttrack_front/src/follow/bootstrap.rs
+++ b/trouttrack_front/src/follow/bootstrap.rs
@@ -13,7 +13,7 @@
 use rand::RngExt;
 use std::rc::Rc;
 use std::time::Duration;
-use trouttrack_core::membership::{CALLERS, LISTS_AGAIN, Revision};
+use trouttrack_core::membership::{LIST_RETRY_INTERVAL, MEAN_STORE_CALLERS, Revision};
 
 /// How long a VM that starts waits to learn which others there are.
 const FIND_OTHERS: Duration = Duration::from_millis(3500);
@@ -26,7 +26,7 @@
     find_others(front).await;
     // Others wait for what a watcher knows.
     while !watches_store(front) && !draws_call(front) {
-        if tokio::time::timeout(LISTS_AGAIN, ask(front, known))
+        if tokio::time::timeout(LIST_RETRY_INTERVAL, ask(front, known))
             .await
             .is_ok()
         {
@@ -43,7 +43,7 @@
 /// Takes the upstreams from a VM that knows them after a revision, within a time limit and without
 /// falling back to the store. Returns whether they are known now.
 pub(super) async fn try_take_from_peers(front: &Rc<Front>, known: Revision) -> bool {
-    let asking = tokio::time::timeout(LISTS_AGAIN, ask(front, known));
+    let asking = tokio::time::timeout(LIST_RETRY_INTERVAL, ask(front, known));
     asking.await.is_ok()
 }
 
@@ -58,7 +58,7 @@
 /// Whether it falls to this VM to ask the store for what others need as well.
 pub(super) fn draws_call(front: &Front) -> bool {
     let near = front.peers.listed_in(&front.failure_domain).max(1);
-    rand::rng().random_range(0.0..near as f64) < CALLERS
+    rand::rng().random_range(0.0..near as f64) < MEAN_STORE_CALLERS
 }
 
 /// Asks peers until one gives the list.
--- a/trouttrack_front/src/follow/confirm.rs
+++ b/trouttrack_front/src/follow/confirm.rs
@@ -8,7 +8,7 @@
 use rand::RngExt;
 use std::rc::Rc;
 use std::time::Duration;
-use trouttrack_core::membership::{CONFIRMED_BY_STORE, CONFIRMED_BY_WATCHER};
+use trouttrack_core::membership::{STORE_REQUEST_AGE, WATCHER_RENEWAL_AGE};
 use trouttrack_platform::{Kind, Reading, StoreError};
 
 /// How long a confirming call may take. Past it another is sent: on a link
@@ -110,8 +110,8 @@
 impl Turn {
     fn draw() -> Self {
         Self {
-            watcher: rand::rng().random_range(CONFIRMED_BY_WATCHER),
-            other: rand::rng().random_range(CONFIRMED_BY_STORE),
+            watcher: rand::rng().random_range(WATCHER_RENEWAL_AGE),
+            other: rand::rng().random_range(STORE_REQUEST_AGE),
         }
     }
 
--- a/trouttrack_front/src/follow/holds.rs
+++ b/trouttrack_front/src/follow/holds.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use trouttrack_core::Fingerprint;
-use trouttrack_core::quarantine::keepers;
+use trouttrack_core::quarantine::record_holders;
 use trouttrack_platform::{HoldEntry, Kind, Object, StoreError};
 
 /// How long a call may take.
@@ -29,7 +29,7 @@
             restored_epoch = front.store_contact.restored_after(epoch) => {
                 epoch = restored_epoch;
                 pause_after_restore(&front).await;
-                front.suspects.held_now_or_before()
+                front.suspects.held_or_released()
             }
             changed = front.suspects.changed() => changed,
         };
@@ -45,7 +45,7 @@
 fn writes(front: &Front, request: Fingerprint) -> bool {
     let vms = front.peers.names_heard().into_iter();
     let vms = vms.chain([front.name.clone()]);
-    let first = keepers(request, vms, String::as_str);
+    let first = record_holders(request, vms, String::as_str);
     first.iter().take(WRITERS).any(|name| *name == front.name)
 }
 
@@ -63,7 +63,7 @@
     if front.suspects.hold(request).is_none() {
         return front.store.remove(Kind::Vms, &name, CALL).await;
     }
-    let ended = front.suspects.ended_under(request);
+    let ended = front.suspects.counted_crashes(request);
     let entry = HoldEntry { ended };
     front.store.put(Kind::Vms, &name, &entry, CALL).await
 }
--- a/trouttrack_front/src/follow/kind.rs
+++ b/trouttrack_front/src/follow/kind.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
-use trouttrack_core::membership::{NEWS_LATE, Revision};
+use trouttrack_core::membership::{Revision, UPDATE_REQUEST_DELAY};
 use trouttrack_platform::{Reading, StoreError};
 
 /// How long a watch waits. Each one is a call that is paid for; one that is
@@ -167,7 +167,7 @@
     let mut known = follower.revision();
     let mut until = Instant::now() + follower.patience();
     while Instant::now() < until {
-        tokio::time::sleep(NEWS_LATE).await;
+        tokio::time::sleep(UPDATE_REQUEST_DELAY).await;
         if !follower.is_behind() {
             return false;
         }
@@ -177,6 +177,6 @@
         }
         follower.ask_peers();
     }
-    tokio::time::sleep(NEWS_LATE).await;
+    tokio::time::sleep(UPDATE_REQUEST_DELAY).await;
     follower.is_behind()
 }
--- a/trouttrack_front/src/follow/upstreams.rs
+++ b/trouttrack_front/src/follow/upstreams.rs
@@ -324,7 +324,7 @@
             .is_leaving()
     {
         // It is listed anew in the life in which it has said so.
-        said_leaving(front, &upstream, Departure::noticed(front.clock.now()));
+        said_leaving(front, &upstream, Departure::from_notice(front.clock.now()));
     }
 }
 
--- a/trouttrack_front/src/follow/words.rs
+++ b/trouttrack_front/src/follow/words.rs
@@ -54,7 +54,7 @@
         status: Some(head.status.as_u16()),
         asked_at,
     };
-    let departure = Departure::noticed(front.clock.now());
+    let departure = Departure::from_notice(front.clock.now());
     heard(front, upstream, &told, departure);
 }
 
@@ -82,7 +82,7 @@
         status: None,
         asked_at,
     };
-    heard(front, upstream, &told, Departure::reported(asked_at));
+    heard(front, upstream, &told, Departure::from_report(asked_at));
 }
 
 /// A peer has told of limits that upstreams named, or that have ended.
--- a/trouttrack_front/src/peers/confirm.rs
+++ b/trouttrack_front/src/peers/confirm.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use trouttrack_core::ConfigVersion;
-use trouttrack_core::membership::{CONFIRMATION_ASKED_AGAIN, CONFIRMED_BY_PEER};
+use trouttrack_core::membership::{CONFIRMATION_RETRY_INTERVAL, PEER_REQUEST_AGE};
 
 /// The longest pause: while the store is away nobody has a newer confirmation.
 const ASK_AT_LEAST: Duration = Duration::from_millis(800);
@@ -29,11 +29,11 @@
 /// of another failure domain, for the own watcher may be
 /// gone. Goes on for as long as the process runs.
 pub(crate) async fn keep_confirmed(front: Rc<Front>, socket: Rc<UdpSocket>) {
-    let mut pause = CONFIRMATION_ASKED_AGAIN;
+    let mut pause = CONFIRMATION_RETRY_INTERVAL;
     let mut of_watcher = true;
     loop {
         if let Some(left) = time_left(&front) {
-            pause = CONFIRMATION_ASKED_AGAIN;
+            pause = CONFIRMATION_RETRY_INTERVAL;
             of_watcher = true;
             tokio::time::sleep(left.clamp(LOOK, LOOK_AT_LEAST)).await;
             continue;
@@ -50,7 +50,7 @@
     if !front.routing.is_known() || watches_store(front) {
         return Some(LOOK_AT_LEAST);
     }
-    let due = front.routing.renewed_after().mul_f64(CONFIRMED_BY_PEER);
+    let due = front.routing.renewed_after().mul_f64(PEER_REQUEST_AGE);
     let left = due.checked_sub(front.routing.age()?)?;
     (!left.is_zero()).then_some(left)
 }
@@ -105,7 +105,7 @@
     if config_version != front.routing.version() || !front.routing.is_known() {
         return;
     }
-    if let Some(at) = front.peers.at_least(echo, age) {
+    if let Some(at) = front.peers.earliest_time(echo, age) {
         front.routing.confirmed(at);
     }
 }
--- a/trouttrack_front/src/peers/heartbeat.rs
+++ b/trouttrack_front/src/peers/heartbeat.rs
@@ -20,7 +20,7 @@
 use tokio::time::Instant;
 use trouttrack_core::FailureDomain;
 use trouttrack_core::membership::{
-    CHANGED_LIMIT_TOLD, Digest, FAR_TOLD, NEAR_TOLD, UpstreamUse, tells_sums,
+    CHANGED_LIMIT_REPEAT_PERIOD, Digest, LOCAL_FANOUT, REMOTE_FANOUT, UpstreamUse, sends_aggregates,
 };
 use trouttrack_core::upstream::{RateShare, ReportedLimit};
 
@@ -64,7 +64,7 @@
 /// The pause until the next heartbeats. Those of a VM that watches the store are waited for.
 fn pause(front: &Front) -> Duration {
     match watches_store(front) {
-        true => front.peers.watchers_pause(),
+        true => front.peers.watcher_heartbeat_interval(),
         false => front.peers.pause(),
     }
 }
@@ -120,7 +120,7 @@
 fn send_load(front: &Front, socket: &UdpSocket) {
     let everyone = !is_large(front);
     let uses = front.scheduler.local_uses();
-    let limits = front.scheduler.limits(Some(CHANGED_LIMIT_TOLD));
+    let limits = front.scheduler.limits(Some(CHANGED_LIMIT_REPEAT_PERIOD));
     let domains = domains_of(front, &uses, &limits);
     let concerned = |domain: &str| {
         everyone || domain == front.failure_domain || domains.iter().any(|d| d == domain)
@@ -147,7 +147,7 @@
 }
 
 fn is_large(front: &Front) -> bool {
-    tells_sums(front.peers.listed())
+    sends_aggregates(front.peers.listed())
 }
 
 fn receivers(front: &Front) -> Vec<(String, SocketAddr)> {
@@ -163,10 +163,10 @@
     let told = if just_started || watches_store(front) {
         near.len()
     } else {
-        NEAR_TOLD
+        LOCAL_FANOUT
     };
     let near = near.into_iter().take(told);
-    near.chain(far.into_iter().take(FAR_TOLD)).collect()
+    near.chain(far.into_iter().take(REMOTE_FANOUT)).collect()
 }
 
 fn heartbeat(front: &Front) -> Heartbeat {
--- a/trouttrack_front/src/peers/message.rs
+++ b/trouttrack_front/src/peers/message.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use trouttrack_core::membership::{Digest, Evacuations, Revision, UpstreamUse};
-use trouttrack_core::quarantine::Suspect;
+use trouttrack_core::quarantine::CrashRecord;
 use trouttrack_core::upstream::ReportedLimit;
 use trouttrack_core::{ConfigVersion, UpstreamId};
 use trouttrack_platform::UpstreamEntry;
@@ -38,7 +38,7 @@
     /// datagram; it may be fetched.
     ConfigReady(ConfigVersion),
     /// Requests under which upstreams ended.
-    Suspects(Vec<Suspect>),
+    Suspects(Vec<CrashRecord>),
     /// The receiver is asked how long ago its configuration was confirmed. Numbered with
     /// the sender's heartbeats.
     ConfirmationWanted(Echo),
--- a/trouttrack_front/src/peers/news.rs
+++ b/trouttrack_front/src/peers/news.rs
@@ -15,7 +15,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 use trouttrack_core::membership::{
-    CHANGES_IN_DATAGRAM, NEWS_ANSWERS, Revision, news_receivers, relays,
+    MAX_CHANGES_PER_DATAGRAM, MAX_UPDATE_DATAGRAMS, Revision, relays, update_receivers,
 };
 
 /// Sends news to those who are to hear them, for as long as the process runs.
@@ -24,7 +24,7 @@
 /// generation the time to be moved.
 pub(crate) async fn tell(front: Rc<Front>, socket: Rc<UdpSocket>, mut news: mpsc::Receiver<News>) {
     while let Some(news) = news.recv().await {
-        for part in news.in_parts(CHANGES_IN_DATAGRAM) {
+        for part in news.in_parts(MAX_CHANGES_PER_DATAGRAM) {
             tell_part(&front, &socket, part).await;
         }
     }
@@ -32,7 +32,7 @@
 
 async fn tell_part(front: &Front, socket: &UdpSocket, news: News) {
     let near = |(name, _): &(String, _)| front.peers.is_in(name, &front.failure_domain);
-    let receivers = news_receivers(front.peers.others(), near, &mut rand::rng());
+    let receivers = update_receivers(front.peers.others(), near, &mut rand::rng());
     let receivers = receivers.into_iter().map(|(_, addr)| addr).collect();
     for (relay, pass_on) in relays(receivers) {
         let Some(bytes) = encode(&Datagram::News(news.clone(), pass_on)) else {
@@ -74,9 +74,9 @@
         return;
     };
     for part in news
-        .in_parts(CHANGES_IN_DATAGRAM)
+        .in_parts(MAX_CHANGES_PER_DATAGRAM)
         .into_iter()
-        .take(NEWS_ANSWERS)
+        .take(MAX_UPDATE_DATAGRAMS)
     {
         post(socket, &Datagram::News(part, Vec::new()), peer);
     }
--- a/trouttrack_front/src/peers/roles.rs
+++ b/trouttrack_front/src/peers/roles.rs
@@ -4,7 +4,7 @@
 use crate::state::Front;
 use std::time::Duration;
 use trouttrack_core::Time;
-use trouttrack_core::membership::{Contact, Standing};
+use trouttrack_core::membership::{Precedence, StoreReachability};
 
 /// A VM that the store has answered this recently can watch it. A watch that
 /// nothing happens on is answered somewhat sooner.
@@ -23,18 +23,22 @@
     let now = front.clock.now();
     if !knows_others(front, now) {
         // Its turn is counted from when it does.
-        front.peers.duty(|duty| duty.claimed(now));
+        front
+            .peers
+            .election(|election| election.announcement_received(now));
         return false;
     }
     if front.lifecycle.is_stopping() {
-        front.peers.duty(|duty| duty.release(now));
+        front.peers.election(|election| election.release(now));
         return false;
     }
-    let own = own_standing(front);
-    let before = |name: &str, peer: &Heard| may_watch(front, peer) && standing(name, peer) > own;
+    let own = own_precedence(front);
+    let before = |name: &str, peer: &Heard| may_watch(front, peer) && precedence(name, peer) > own;
     let before = front.peers.count_heard(before);
-    let pause = front.peers.watchers_pause();
-    front.peers.duty(|duty| duty.decide(now, before, pause))
+    let pause = front.peers.watcher_heartbeat_interval();
+    front
+        .peers
+        .election(|election| election.decide(now, before, pause))
 }
 
 /// Whether this VM has had time to hear of the others.
@@ -49,20 +53,22 @@
         front.peers.set_watcher(name);
     }
     let claimed =
-        |peer: &Heard| may_watch(front, peer) && standing(name, peer) > own_standing(front);
+        |peer: &Heard| may_watch(front, peer) && precedence(name, peer) > own_precedence(front);
     if front.peers.heard(name).is_some_and(|peer| claimed(&peer)) {
         let now = front.clock.now();
-        front.peers.duty(|duty| duty.claimed(now));
+        front
+            .peers
+            .election(|election| election.announcement_received(now));
     }
 }
 
-fn own_standing(front: &Front) -> Standing {
+fn own_precedence(front: &Front) -> Precedence {
     let age = front.store_contact.age(front.clock.now());
-    Standing::new(&front.name, Contact::of(age, IN_CONTACT))
+    Precedence::new(&front.name, StoreReachability::of(age, IN_CONTACT))
 }
 
-fn standing(name: &str, peer: &Heard) -> Standing {
-    Standing::new(name, Contact::of(peer.store_age, IN_CONTACT))
+fn precedence(name: &str, peer: &Heard) -> Precedence {
+    Precedence::new(name, StoreReachability::of(peer.store_age, IN_CONTACT))
 }
 
 /// Whether a peer stands in the own failure domain, and stays.
--- a/trouttrack_front/src/peers/suspects.rs
+++ b/trouttrack_front/src/peers/suspects.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::UdpSocket;
-use trouttrack_core::quarantine::{Suspect, keepers};
+use trouttrack_core::quarantine::{CrashRecord, record_holders};
 use trouttrack_core::{Fingerprint, Time};
 
 /// Pause between two times that everything held is told: at 4 kB a time within the budget
@@ -22,7 +22,7 @@
 /// Tells what is new to those who are to hear it.
 pub(super) fn tell_news(front: &Front, socket: &UdpSocket) {
     for request in front.suspects.take_news() {
-        let news = Datagram::Suspects(front.suspects.told_of(&[request]));
+        let news = Datagram::Suspects(front.suspects.records_of(&[request]));
         post_to_all(socket, &news, concerned(front, request));
     }
 }
@@ -33,14 +33,14 @@
     let others = front.peers.others().into_iter();
     let all = match front.suspects.hold(request) {
         Some(_) => others.collect(),
-        None => keepers(request, others, |(name, _)| name.as_str()),
+        None => record_holders(request, others, |(name, _)| name.as_str()),
     };
     all.into_iter().map(|(_, addr)| addr).collect()
 }
 
 /// Takes in what a peer told, and tells it what is known better here.
-pub(super) fn hear(front: &Front, socket: &UdpSocket, told: &[Suspect], peer: SocketAddr) {
-    let better = front.suspects.hear(told, &peer.to_string());
+pub(super) fn hear(front: &Front, socket: &UdpSocket, told: &[CrashRecord], peer: SocketAddr) {
+    let better = front.suspects.merge_records(told, &peer.to_string());
     if !better.is_empty() {
         post(socket, &Datagram::Suspects(better), peer);
     }
@@ -70,7 +70,7 @@
         if recently || same || front.suspects.is_empty() {
             return;
         }
-        let told = front.suspects.told();
+        let told = front.suspects.held_records();
         if !told.is_empty() {
             self.told_at.set(Some(now));
             post(socket, &Datagram::Suspects(told), peer);
--- a/trouttrack_front/src/peers/table.rs
+++ b/trouttrack_front/src/peers/table.rs
@@ -10,7 +10,8 @@
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 use trouttrack_core::membership::{
-    Duty, Revision, SentTimes, heartbeat_pause, longest_silence, watchers_pause,
+    Revision, SentTimes, WatcherElection, heartbeat_interval, peer_timeout,
+    watcher_heartbeat_interval,
 };
 use trouttrack_core::{ConfigVersion, FailureDomain, Time};
 use trouttrack_telemetry::{events, record};
@@ -60,7 +61,7 @@
     /// Where datagrams are sent from, once that is known.
     socket: OnceCell<Rc<UdpSocket>>,
     /// Whether this VM watches the store.
-    duty: Cell<Duty>,
+    election: Cell<WatcherElection>,
     /// Something has changed that the next heartbeats are to say at once.
     announcement: Notify,
 }
@@ -88,7 +89,7 @@
             far_behind: Cell::new(false),
             behind: Notify::new(),
             socket: OnceCell::new(),
-            duty: Cell::default(),
+            election: Cell::default(),
             announcement: Notify::new(),
         }
     }
@@ -153,13 +154,13 @@
     /// The pause between two heartbeats of a VM.
     #[must_use]
     pub fn pause(&self) -> Duration {
-        heartbeat_pause(self.listed())
+        heartbeat_interval(self.listed())
     }
 
     /// The pause between two heartbeats of a VM that watches the store.
     #[must_use]
-    pub fn watchers_pause(&self) -> Duration {
-        watchers_pause(self.listed())
+    pub fn watcher_heartbeat_interval(&self) -> Duration {
+        watcher_heartbeat_interval(self.listed())
     }
 
     /// The other VMs.
@@ -185,16 +186,16 @@
     }
 
     /// Changes whether this VM watches the store, and returns what that comes to.
-    pub(super) fn duty<T>(&self, f: impl FnOnce(&mut Duty) -> T) -> T {
-        let before = self.duty.get();
-        let mut duty = before;
-        let outcome = f(&mut duty);
-        self.duty.set(duty);
-        if duty.holds() && !before.holds() {
+    pub(super) fn election<T>(&self, f: impl FnOnce(&mut WatcherElection) -> T) -> T {
+        let before = self.election.get();
+        let mut election = before;
+        let outcome = f(&mut election);
+        self.election.set(election);
+        if election.is_watcher() && !before.is_watcher() {
             record!(events::WATCH_TAKEN, vm = self.own.as_str());
             self.announce();
         }
-        if before.holds() && !duty.holds() {
+        if before.is_watcher() && !election.is_watcher() {
             record!(events::WATCH_LEFT, vm = self.own.as_str());
         }
         outcome
@@ -337,11 +338,11 @@
 
     /// The time since which something holds that was `age` old when its sender had heard a
     /// datagram of ours.
-    pub(super) fn at_least(&self, echo: Echo, age: Duration) -> Option<Time> {
+    pub(super) fn earliest_time(&self, echo: Echo, age: Duration) -> Option<Time> {
         if echo.incarnation != self.incarnation {
             return None;
         }
-        self.sent.borrow().at_least(echo.sequence, age)
+        self.sent.borrow().earliest_time(echo.sequence, age)
     }
 
     /// A peer of the own failure domain said that it watches the store.
@@ -414,7 +415,7 @@
     /// their silence says nothing.
     pub fn forget_silent(&self, now: Time, home: &str) {
         let near = self.heard_near(home);
-        let missed = longest_silence(self.listed(), near);
+        let missed = peer_timeout(self.listed(), near);
         let mut heard = self.heard.borrow_mut();
         heard.retain(|name, last| {
             let age = now.saturating_sub(last.at);
--- a/trouttrack_front/src/peers/transfer/serve.rs
+++ b/trouttrack_front/src/peers/transfer/serve.rs
@@ -16,7 +16,7 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 use tokio::net::TcpListener;
-use trouttrack_core::membership::{ANSWERED_AT_ONCE, Revision};
+use trouttrack_core::membership::{MAX_CONCURRENT_TRANSFERS, Revision};
 use trouttrack_core::{ConfigVersion, Time};
 
 /// How long an encoded snapshot is used again: for how long upstreams are cold is told as
@@ -60,7 +60,7 @@
         let (Some(kind), Some(known)) = (kind, known) else {
             return refuse(StatusCode::NOT_FOUND);
         };
-        if self.sending.get() >= ANSWERED_AT_ONCE {
+        if self.sending.get() >= MAX_CONCURRENT_TRANSFERS {
             return refuse(StatusCode::SERVICE_UNAVAILABLE);
         }
         let bytes = match kind {
--- a/trouttrack_front/src/request/plain.rs
+++ b/trouttrack_front/src/request/plain.rs
@@ -25,7 +25,7 @@
 
 /// Serves a request.
 pub(crate) async fn serve(front: &Rc<Front>, admitted: Admitted, body: Bytes) -> Reply {
-    let Some(service) = admitted.route.draw_service(&mut rand::rng()).cloned() else {
+    let Some(service) = admitted.route.sample_service(&mut rand::rng()).cloned() else {
         return End::not_run("the route has no service").reply(front, &admitted, 0);
     };
     let deadline = front.clock.instant(admitted.deadline);
@@ -174,7 +174,9 @@
     async fn learn(&self, upstream: &Rc<Upstream>, outcome: &Result<WholeAnswer, AttemptFailure>) {
         let (front, admitted, body) = (self.front, self.admitted, &self.body);
         match outcome {
-            Ok(answer) if answer.end_marked => self.suspicion.ran_well(front, admitted, body),
+            Ok(answer) if answer.end_marked => {
+                self.suspicion.record_completed_run(front, admitted, body);
+            }
             Ok(_) => {}
             Err(failure) => {
                 let learning = self
--- a/trouttrack_front/src/request/retry.rs
+++ b/trouttrack_front/src/request/retry.rs
@@ -13,7 +13,7 @@
 pub(super) fn is_attempt(step: StepResult) -> bool {
     matches!(
         step,
-        StepResult::Try(Step::Elsewhere | Step::RunAgain | Step::Resume)
+        StepResult::Try(Step::PlaceAgain | Step::RunAgain | Step::Resume)
     )
 }
 
--- a/trouttrack_front/src/request/stream/run.rs
+++ b/trouttrack_front/src/request/stream/run.rs
@@ -175,7 +175,8 @@
         match (outcome, &self.at) {
             (Ok(()), _) if self.end_marked => {
                 let (front, admitted) = (&self.front, &self.admitted);
-                self.suspicion.ran_well(front, admitted, &self.body);
+                self.suspicion
+                    .record_completed_run(front, admitted, &self.body);
             }
             (Err(Stopped::Failed(failure)), Some(at)) => self.learn_failed(at, failure).await,
             _ => {}
--- a/trouttrack_front/src/request/stream/serve.rs
+++ b/trouttrack_front/src/request/stream/serve.rs
@@ -26,7 +26,7 @@
     if !takes(front, &admitted) {
         return (End::stopping().reply(front, &admitted, 0), None);
     }
-    let Some(service) = admitted.route.draw_service(&mut rand::rng()).cloned() else {
+    let Some(service) = admitted.route.sample_service(&mut rand::rng()).cloned() else {
         let end = End::not_run("the route has no service");
         return (end.reply(front, &admitted, 0), None);
     };
--- a/trouttrack_front/src/request/suspicion.rs
+++ b/trouttrack_front/src/request/suspicion.rs
@@ -74,9 +74,11 @@
     }
 
     /// A run came to its end.
-    pub(super) fn ran_well(&self, front: &Front, admitted: &Admitted, body: &Bytes) {
+    pub(super) fn record_completed_run(&self, front: &Front, admitted: &Admitted, body: &Bytes) {
         if !front.suspects.is_empty() {
-            front.suspects.ran_well(self.fingerprint(admitted, body));
+            front
+                .suspects
+                .record_completed_run(self.fingerprint(admitted, body));
         }
     }
 }
--- a/trouttrack_front/src/rescue/carry.rs
+++ b/trouttrack_front/src/rescue/carry.rs
@@ -86,19 +86,19 @@
     }
 
     /// Whether a copy is done in time.
-    fn fits(&self, departure: &watch::Receiver<Option<Departure>>) -> bool {
+    fn can_complete(&self, departure: &watch::Receiver<Option<Departure>>) -> bool {
         let (now, tokens) = (self.front.clock.now(), self.ticket.held_tokens());
         let departure = departure.borrow();
         departure
             .as_ref()
-            .is_some_and(|d| d.fits(now, &self.id, tokens))
+            .is_some_and(|d| d.can_complete(now, &self.id, tokens))
     }
 
     /// How long the copies before this one still take.
     fn until_turn(&self, departure: &watch::Receiver<Option<Departure>>) -> Option<Duration> {
         let departure = departure.borrow();
-        let begins_at = departure.as_ref()?.begins_at(&self.id);
-        let wait = self.front.clock.until(begins_at);
+        let pre_copy_at = departure.as_ref()?.pre_copy_at(&self.id);
+        let wait = self.front.clock.until(pre_copy_at);
         (!wait.is_zero()).then_some(wait)
     }
 
@@ -125,7 +125,7 @@
     ) -> Option<Rc<Upstream>> {
         let mut held_up_by = "it has not begun";
         while self.in_time(departure) {
-            if !self.fits(departure) {
+            if !self.can_complete(departure) {
                 // The engine may turn out to serve for longer.
                 held_up_by = "the link cannot carry it in time";
                 tokio::time::sleep(AGAIN).await;
@@ -171,8 +171,11 @@
     ) {
         loop {
             let began = self.front.clock.now();
-            let last_call = departure.borrow().as_ref().map(Departure::last_call);
-            if last_call.is_none_or(|last| began >= last) {
+            let stop_and_copy_deadline = departure
+                .borrow()
+                .as_ref()
+                .map(Departure::stop_and_copy_deadline);
+            if stop_and_copy_deadline.is_none_or(|last| began >= last) {
                 return;
             }
             let answer = self.order(target, false, self.time_left(departure)).await;
--- a/trouttrack_front/src/rescue/observe.rs
+++ b/trouttrack_front/src/rescue/observe.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use trouttrack_core::Time;
 use trouttrack_core::fleet::EngineSpec;
-use trouttrack_core::rescue::REPORT_AGE;
+use trouttrack_core::rescue::MAX_REPORT_AGE;
 use trouttrack_platform::EngineReport;
 use trouttrack_telemetry::{events, record};
 
@@ -14,7 +14,7 @@
 
 /// When reports are asked for, after the notice. The first tells what the
 /// engine holds; reports are old, so only the second tells how much time is left.
-const ASK_AFTER: [Duration; 2] = [Duration::ZERO, REPORT_AGE];
+const ASK_AFTER: [Duration; 2] = [Duration::ZERO, MAX_REPORT_AGE];
 
 /// Asks a leaving engine for reports, and times the moves by them.
 pub(crate) async fn observe(front: Rc<Front>, upstream: Rc<Upstream>) {
@@ -46,9 +46,9 @@
     let now = front.clock.now();
     upstream.update_departure(|departure| {
         if let Some(left) = report.leaves_in {
-            departure.leaves_in(asked_at, left);
+            departure.set_remaining(asked_at, left);
         }
-        departure.holds(now, report.generations.clone(), engine, near_room);
+        departure.set_generations(now, report.generations.clone(), engine, near_room);
     });
     record!(
         events::DEPARTURE,
--- a/trouttrack_front/src/state/front.rs
+++ b/trouttrack_front/src/state/front.rs
@@ -148,7 +148,7 @@
 impl Front {
     /// The store answered a call of this VM.
     pub fn store_answered(&self) {
-        self.upstreams.store_back();
+        self.upstreams.store_recovered();
         self.store_contact.answered(self.clock.now());
         if let Some(epoch) = self.store.epoch() {
             self.note_store_epoch(epoch);
@@ -172,7 +172,7 @@
 
     /// The store answers peers again: what it says comes from them.
     pub fn store_is_back_for_peers(&self) {
-        self.upstreams.store_back();
+        self.upstreams.store_recovered();
         self.store_contact.heard_back();
     }
 
--- a/trouttrack_front/src/state/scheduler.rs
+++ b/trouttrack_front/src/state/scheduler.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::sync::{Notify, oneshot};
 use trouttrack_core::UpstreamId;
-use trouttrack_core::membership::{Evacuations, LIMITS_TOLD, UpstreamUse};
+use trouttrack_core::membership::{Evacuations, MAX_LIMITS_PER_DATAGRAM, UpstreamUse};
 use trouttrack_core::upstream::{
     Availability, Incarnation, RateLimit, RateShare, ReportedLimit, Upstream, UpstreamNotice,
     UpstreamSpec,
@@ -208,7 +208,7 @@
         let now = self.clock.now();
         let after = changed_within.map_or(Duration::ZERO, |time| now.saturating_sub(time));
         let mut limits = self.world.borrow().limits(now, after);
-        limits.truncate(LIMITS_TOLD);
+        limits.truncate(MAX_LIMITS_PER_DATAGRAM);
         limits
     }
 
@@ -278,7 +278,7 @@
 
     /// Whether an upstream may be given work now.
     #[must_use]
-    pub fn is_open(&self, upstream: &str) -> bool {
+    pub fn is_available(&self, upstream: &str) -> bool {
         let world = self.world.borrow();
         let row = world.upstreams.get_by_id(upstream);
         row.is_some_and(|u| u.is_available(self.clock.now()))
--- a/trouttrack_front/src/state/suspects.rs
+++ b/trouttrack_front/src/state/suspects.rs
@@ -5,7 +5,7 @@
 use std::cell::RefCell;
 use tokio::sync::Notify;
 use trouttrack_core::Fingerprint;
-use trouttrack_core::quarantine::{Hold, Quarantine, QuarantineSettings, Suspect};
+use trouttrack_core::quarantine::{CrashRecord, Hold, Quarantine, QuarantineSettings};
 use trouttrack_core::upstream::Incarnation;
 use trouttrack_telemetry::{events, record};
 
@@ -64,7 +64,7 @@
         let new = self
             .table
             .borrow_mut()
-            .ended(now, request, &upstream.incarnation());
+            .record_crash(now, request, &upstream.incarnation());
         if !new {
             return;
         }
@@ -73,7 +73,7 @@
             upstream = upstream.id.as_str(),
             born = upstream.born,
             fingerprint = text(request).as_str(),
-            ends = self.ended_under(request).len(),
+            ends = self.counted_crashes(request).len(),
         );
         if !was_held {
             self.log_hold(request, "own");
@@ -83,10 +83,10 @@
     }
 
     /// A run of a request came to its end.
-    pub fn ran_well(&self, request: Fingerprint) {
+    pub fn record_completed_run(&self, request: Fingerprint) {
         let now = self.clock.now();
         let was_held = self.hold(request).is_some();
-        if self.table.borrow_mut().ran_well(now, request) {
+        if self.table.borrow_mut().record_completed_run(now, request) {
             record!(events::RAN_WELL, fingerprint = text(request).as_str());
             self.tell(request);
         }
@@ -106,15 +106,15 @@
 
     /// The upstreams whose ends count against a request.
     #[must_use]
-    pub fn ended_under(&self, request: Fingerprint) -> Vec<Incarnation> {
-        self.table.borrow().ended_under(request)
+    pub fn counted_crashes(&self, request: Fingerprint) -> Vec<Incarnation> {
+        self.table.borrow().counted_crashes(request)
     }
 
     /// The requests that are held, and those that may have been held before.
     #[must_use]
-    pub fn held_now_or_before(&self) -> Vec<Fingerprint> {
+    pub fn held_or_released(&self) -> Vec<Fingerprint> {
         let table = self.table.borrow();
-        table.held_now_or_before(self.clock.now()).collect()
+        table.held_or_released(self.clock.now()).collect()
     }
 
     fn keep(&self, request: Fingerprint) {
@@ -154,30 +154,35 @@
 
     /// What is told of some requests.
     #[must_use]
-    pub fn told_of(&self, requests: &[Fingerprint]) -> Vec<Suspect> {
-        self.table.borrow().told_of(self.clock.now(), requests)
+    pub fn records_of(&self, requests: &[Fingerprint]) -> Vec<CrashRecord> {
+        self.table.borrow().records_of(self.clock.now(), requests)
     }
 
     /// What a VM is told that holds other requests.
     #[must_use]
-    pub fn told(&self) -> Vec<Suspect> {
-        self.table.borrow().told(self.clock.now(), MOST_TOLD)
+    pub fn held_records(&self) -> Vec<CrashRecord> {
+        self.table
+            .borrow()
+            .held_records(self.clock.now(), MOST_TOLD)
     }
 
     /// Takes in what a peer knows. Returns what it is to be told in turn. Where several
     /// single ends have come together here, all VMs hear of it.
-    pub fn hear(&self, told: &[Suspect], peer: &str) -> Vec<Suspect> {
-        let heard = self.table.borrow_mut().hear(self.clock.now(), told);
+    pub fn merge_records(&self, told: &[CrashRecord], peer: &str) -> Vec<CrashRecord> {
+        let heard = self
+            .table
+            .borrow_mut()
+            .merge_records(self.clock.now(), told);
         for &request in &heard.held {
             self.log_hold(request, peer);
             self.keep(request);
-            let said_by_one = |s: &&Suspect| s.fingerprint == request;
+            let said_by_one = |s: &&CrashRecord| s.fingerprint == request;
             let known_there = told.iter().find(said_by_one).map_or(0, |s| s.ends.len());
             if self.hold(request).is_some_and(|h| h.ends > known_there) {
                 self.tell(request);
             }
         }
-        self.told_of(&heard.known_better)
+        self.records_of(&heard.newer_runs)
     }
 
     /// A sum over what is held: VMs with the same one hold the same.
--- a/trouttrack_front/src/state/ticket.rs
+++ b/trouttrack_front/src/state/ticket.rs
@@ -48,13 +48,16 @@
         self.fault.set(true);
         let now = self.now();
         let mut world = self.scheduler.world.borrow_mut();
-        world.unreachable(now, self.key);
+        world.record_unreachable(now, self.key);
     }
 
     /// The upstream turned the request away: other VMs are told.
     pub fn refused(&self) {
         let now = self.now();
-        self.scheduler.world.borrow_mut().refused(now, self.key);
+        self.scheduler
+            .world
+            .borrow_mut()
+            .record_refusal(now, self.key);
         self.scheduler.tell_soon();
     }
 
@@ -62,7 +65,7 @@
     pub fn lost(&self) {
         self.fault.set(true);
         let now = self.now();
-        self.scheduler.world.borrow_mut().lost(now, self.key);
+        self.scheduler.world.borrow_mut().record_loss(now, self.key);
         self.scheduler.tell_soon();
     }
 
@@ -105,7 +108,7 @@
         let now = self.now();
         self.scheduler.waiting.borrow_mut().remove(&self.key);
         let mut world = self.scheduler.world.borrow_mut();
-        let frees = world.ended(now, self.key, self.fault.get(), self.tokens.get());
+        let frees = world.record_end(now, self.key, self.fault.get(), self.tokens.get());
         let waits = world.queued() > 0;
         drop(world);
         if frees {
--- a/trouttrack_front/src/state/upstreams.rs
+++ b/trouttrack_front/src/state/upstreams.rs
@@ -301,7 +301,7 @@
 
     /// A departure that the store tells of now.
     fn noticed(&self) -> Departure {
-        Departure::noticed(self.clock.now())
+        Departure::from_notice(self.clock.now())
     }
 
     /// An entry disappeared. Returns the upstream if it is gone.
@@ -349,7 +349,7 @@
     /// Takes out the upstreams whose entries lapsed and can no longer come
     /// back.
     pub fn expired(&self) -> Vec<Rc<Upstream>> {
-        let gone = self.entries.borrow_mut().gone(self.clock.now());
+        let gone = self.entries.borrow_mut().take_expired(self.clock.now());
         gone.iter().filter_map(|id| self.take_out(id)).collect()
     }
 
@@ -369,8 +369,8 @@
     }
 
     /// A call to the store was answered.
-    pub fn store_back(&self) {
-        self.entries.borrow_mut().store_back(self.clock.now());
+    pub fn store_recovered(&self) {
+        self.entries.borrow_mut().store_recovered(self.clock.now());
     }
 
     /// All rows were made by these services.
--- a/trouttrack_front/tests/front/evacuation.rs
+++ b/trouttrack_front/tests/front/evacuation.rs
@@ -26,8 +26,8 @@
     bed
 }
 
-fn is_open(front: &Front, upstream: &str) -> bool {
-    front.scheduler.is_open(upstream)
+fn is_available(front: &Front, upstream: &str) -> bool {
+    front.scheduler.is_available(upstream)
 }
 
 /// Sends requests, all of which are served, and returns how many reached each upstream.
@@ -47,10 +47,10 @@
     let bed = bed(PLAIN).await;
     assert!(served_by(&bed).await[0] > 0);
     bed.store.evacuate("a");
-    until("it is in force", || !is_open(&bed.front.front, "u1")).await;
+    until("it is in force", || !is_available(&bed.front.front, "u1")).await;
     assert_eq!(served_by(&bed).await, [0, MANY]);
     bed.store.take_back("a");
-    until("it is taken back", || is_open(&bed.front.front, "u1")).await;
+    until("it is taken back", || is_available(&bed.front.front, "u1")).await;
     assert!(served_by(&bed).await[0] > 0);
 }
 
@@ -58,7 +58,7 @@
 async fn an_outage_of_the_store_does_not_lift_it() {
     let bed = bed(PLAIN).await;
     bed.store.evacuate("a");
-    until("it is in force", || !is_open(&bed.front.front, "u1")).await;
+    until("it is in force", || !is_available(&bed.front.front, "u1")).await;
     bed.store.set_fault(StoreFault::Refuse);
     tokio::time::sleep(Duration::from_secs(2)).await;
     assert_eq!(served_by(&bed).await, [0, MANY]);
@@ -71,7 +71,7 @@
 async fn an_upstream_that_joins_later_gets_nothing_either() {
     let mut bed = bed(PLAIN).await;
     bed.store.evacuate("a");
-    until("it is in force", || !is_open(&bed.front.front, "u1")).await;
+    until("it is in force", || !is_available(&bed.front.front, "u1")).await;
     let late = Upstream::start("u4", PLAIN, "a").await;
     bed.store.put_upstream(&late, false);
     until("it is known", || {
@@ -88,7 +88,7 @@
     bed.store.evacuate("a");
     bed.store.evacuate("b");
     until("both are in force", || {
-        !is_open(&bed.front.front, "u1") && !is_open(&bed.front.front, "u3")
+        !is_available(&bed.front.front, "u1") && !is_available(&bed.front.front, "u3")
     })
     .await;
     let reply = bed.send(&plain("r1", "many")).await;
@@ -101,7 +101,7 @@
 async fn a_new_configuration_does_not_lift_it() {
     let bed = bed(PLAIN).await;
     bed.store.evacuate("a");
-    until("it is in force", || !is_open(&bed.front.front, "u1")).await;
+    until("it is in force", || !is_available(&bed.front.front, "u1")).await;
     bed.store.put_config(&config(2));
     until("the version is in force", || {
         bed.front.front.routing.version() == 2
@@ -117,23 +117,23 @@
     bed.store.evacuate("a");
     bed.store.forget_history();
     bed.store.set_fault(StoreFault::None);
-    until("it is in force", || !is_open(&bed.front.front, "u1")).await;
+    until("it is in force", || !is_available(&bed.front.front, "u1")).await;
     bed.store.set_fault(StoreFault::DeafWatches);
     bed.store.take_back("a");
     bed.store.forget_history();
     bed.store.set_fault(StoreFault::None);
-    until("it is taken back", || is_open(&bed.front.front, "u1")).await;
+    until("it is taken back", || is_available(&bed.front.front, "u1")).await;
 }
 
 #[actix_rt::test]
 async fn a_vm_that_starts_meanwhile_knows_it_before_it_serves() {
     let bed = bed(PLAIN).await;
     bed.store.evacuate("a");
-    until("it is in force", || !is_open(&bed.front.front, "u1")).await;
+    until("it is in force", || !is_available(&bed.front.front, "u1")).await;
     let late = start(&settings(&bed.store, "front-2", "")).await;
     let late = late.expect("a front");
     until("it is ready", || late.front.lifecycle.is_ready()).await;
-    assert!(!is_open(&late.front, "u1"));
+    assert!(!is_available(&late.front, "u1"));
 }
 
 /// A second front whose store has all but the evacuations, as one that is cut off
@@ -162,9 +162,9 @@
     // Later than all that the other store has seen.
     bed.store.put_config(&config(7));
     bed.store.evacuate("a");
-    until("it is in force", || !is_open(&late.front, "u1")).await;
+    until("it is in force", || !is_available(&late.front, "u1")).await;
     bed.store.take_back("a");
-    until("it is taken back", || is_open(&late.front, "u1")).await;
+    until("it is taken back", || is_available(&late.front, "u1")).await;
 }
 
 #[actix_rt::test]
@@ -198,7 +198,10 @@
     let mut others = bed.upstreams.iter().filter(|u| u.id != source.id);
     let other = others.next().expect("another");
     bed.store.evacuate(&other.failure_domain);
-    until("it is in force", || !is_open(&bed.front.front, &other.id)).await;
+    until("it is in force", || {
+        !is_available(&bed.front.front, &other.id)
+    })
+    .await;
     bed.store.put_upstream(source, true);
     let reply = answer.await.expect("an answer");
     assert_eq!(reply.text(), events("r1", 150));
@@ -213,7 +216,7 @@
     bed.store.set_fault(StoreFault::DeafWatches);
     bed.store.evacuate("a");
     bed.store.set_fault(StoreFault::None);
-    until("it is in force", || !is_open(&bed.front.front, "u1")).await;
+    until("it is in force", || !is_available(&bed.front.front, "u1")).await;
     tokio::time::sleep(PAST_THE_BOUND).await;
     assert_eq!(served_by(&bed).await, [0, MANY]);
 }
--- a/trouttrack_front/tests/front/incarnations.rs
+++ b/trouttrack_front/tests/front/incarnations.rs
@@ -30,7 +30,7 @@
 fn takes_work(bed: &Bed, id: &str) -> bool {
     let front = &bed.front.front;
     let stays = front.upstreams.get(id).is_some_and(|u| !u.is_leaving());
-    stays && front.scheduler.is_open(id)
+    stays && front.scheduler.is_available(id)
 }
 
 async fn reaches(bed: &Bed, upstream: &Upstream, ids: &str) -> usize {
--- a/trouttrack_front/tests/front/plain.rs
+++ b/trouttrack_front/tests/front/plain.rs
@@ -220,7 +220,7 @@
         assert_eq!(bed.send(&req).await.status, 504);
     }
     let world = &bed.front.front.scheduler;
-    assert!(bed.upstreams.iter().all(|u| world.is_open(&u.id)));
+    assert!(bed.upstreams.iter().all(|u| world.is_available(&u.id)));
 }
 
 #[actix_rt::test]
--- a/trouttrack_front/tests/front/store_restored.rs
+++ b/trouttrack_front/tests/front/store_restored.rs
@@ -173,7 +173,7 @@
     restore_after_outage(&bed.store, &backup).await;
     bed.store.evacuate("a");
     bed.store.set_fault(StoreFault::None);
-    until("a is evacuated", || !front.scheduler.is_open("u1")).await;
+    until("a is evacuated", || !front.scheduler.is_available("u1")).await;
 }
 
 // A restore ends an evacuation before an operator can write it again.
@@ -183,14 +183,14 @@
     let front = &bed.front.front;
     let backup = bed.store.backup();
     bed.store.evacuate("a");
-    until("a is evacuated", || !front.scheduler.is_open("u1")).await;
+    until("a is evacuated", || !front.scheduler.is_available("u1")).await;
     restore_without_outage(&bed, &backup).await;
-    assert!(!front.scheduler.is_open("u1"));
+    assert!(!front.scheduler.is_available("u1"));
     bed.store.evacuate("a");
     tokio::time::sleep(LISTING).await;
-    assert!(!front.scheduler.is_open("u1"));
+    assert!(!front.scheduler.is_available("u1"));
     bed.store.take_back("a");
-    until("a is taken back", || front.scheduler.is_open("u1")).await;
+    until("a is taken back", || front.scheduler.is_available("u1")).await;
 }
 
 // An evacuation lost in a restore stays in force forever.
@@ -200,9 +200,9 @@
     let front = &bed.front.front;
     let backup = bed.store.backup();
     bed.store.evacuate("a");
-    until("a is evacuated", || !front.scheduler.is_open("u1")).await;
+    until("a is evacuated", || !front.scheduler.is_available("u1")).await;
     restore_without_outage(&bed, &backup).await;
-    until("the evacuation ends", || front.scheduler.is_open("u1")).await;
+    until("the evacuation ends", || front.scheduler.is_available("u1")).await;
 }
 
 // An upstream whose entry was lost in a restore is dropped before it can write it again.
@@ -265,7 +265,7 @@
     restore_removed_entry(&bed).await;
     bed.store
         .put_cold(&bed.upstreams[0], Duration::from_millis(1));
-    until("u1 is open", || front.scheduler.is_open("u1")).await;
+    until("u1 is open", || front.scheduler.is_available("u1")).await;
     assert!(count_served_by(&bed, &bed.upstreams[0], "back").await > 0);
 }
 
@@ -317,7 +317,7 @@
     let front = &bed.front.front;
     restore_removed_entry(&bed).await;
     assert!(front.upstreams.get("u1").is_none());
-    until("u1 is used", || front.scheduler.is_open("u1")).await;
+    until("u1 is used", || front.scheduler.is_available("u1")).await;
     assert!(count_served_by(&bed, &bed.upstreams[0], "listed").await > 0);
 }
 
@@ -350,7 +350,7 @@
     }
     until("the hold is stored", || bed.store.holds().len() == 1).await;
     let backup = bed.store.backup();
-    front.suspects.ran_well(REQUEST);
+    front.suspects.record_completed_run(REQUEST);
     until("the hold is removed", || bed.store.holds().is_empty()).await;
     bed.store.restore(&backup);
     assert_eq!(bed.store.holds().len(), 1);
@@ -410,7 +410,7 @@
             tokio::time::sleep(Duration::from_secs(2)).await;
         }
     });
-    until("u1 is used", || front.scheduler.is_open("u1")).await;
+    until("u1 is used", || front.scheduler.is_available("u1")).await;
     list_task.abort();
 }
 
@@ -448,5 +448,5 @@
     bed.store.set_fault(StoreFault::DeafWatches);
     bed.store.restore(&backup);
     bed.store.evacuate("a");
-    until("a is evacuated", || !front.scheduler.is_open("u1")).await;
+    until("a is evacuated", || !front.scheduler.is_available("u1")).await;
 }
--- a/trouttrack_gateway/src/claims/shard_task.rs
+++ b/trouttrack_gateway/src/claims/shard_task.rs
@@ -3,7 +3,9 @@
 use bytes::Bytes;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::{mpsc, oneshot};
-use trouttrack_core::claims::{Bucket, Claim, ClaimShard, Decided, Plan, ShardLimits, Slot};
+use trouttrack_core::claims::{
+    Bucket, Claim, ClaimDecision, ClaimShard, ClaimWrite, ShardLimits, Slot,
+};
 use trouttrack_rpc::ClaimAnswer;
 use trouttrack_state::client::PlatformError;
 use trouttrack_state::{Condition, ObjectClient, Write};
@@ -82,9 +84,9 @@
         for (i, asked) in batch.into_iter().enumerate() {
             let answer = match &decided {
                 Ok(all) => match &all[i] {
-                    Decided::Ours => ClaimAnswer::Won,
-                    Decided::Known(claim) => ClaimAnswer::Known(claim.clone()),
-                    Decided::NoRoom => ClaimAnswer::Unconfirmed(NO_ROOM.to_owned()),
+                    ClaimDecision::Ours => ClaimAnswer::Won,
+                    ClaimDecision::Known(claim) => ClaimAnswer::Known(claim.clone()),
+                    ClaimDecision::RingFull => ClaimAnswer::Unconfirmed(NO_ROOM.to_owned()),
                 },
                 Err(e) => ClaimAnswer::Unconfirmed(e.clone()),
             };
@@ -94,7 +96,7 @@
     }
 
     /// Decides and writes, reading anew whenever another process wrote first.
-    async fn claim(&mut self, claims: &[Claim]) -> Result<Vec<Decided>, String> {
+    async fn claim(&mut self, claims: &[Claim]) -> Result<Vec<ClaimDecision>, String> {
         for _ in 0..ROUNDS {
             self.refresh().await.map_err(|e| e.to_string())?;
             let (decided, plan) = self.state.plan(unix_now(), claims);
@@ -135,7 +137,7 @@
     }
 
     /// Writes a bucket. `false` if another process wrote first.
-    async fn write(&mut self, plan: &Plan) -> Result<bool, PlatformError> {
+    async fn write(&mut self, plan: &ClaimWrite) -> Result<bool, PlatformError> {
         let body = serde_json::to_vec(&plan.bucket).expect("a bucket serialises to JSON");
         let condition = match plan.version {
             Some(version) => Condition::Version(version),
--- a/trouttrack_gateway/src/dispatch/actor.rs
+++ b/trouttrack_gateway/src/dispatch/actor.rs
@@ -106,7 +106,7 @@
                 };
                 self.answer(request, Err(refusal));
                 let now = self.now();
-                self.world.ended(now, request, false, None);
+                self.world.record_end(now, request, false, None);
             }
         }
     }
@@ -129,7 +129,7 @@
         let now = self.now();
         for key in gone {
             self.waiting.remove(&key);
-            self.world.ended(now, key, false, None);
+            self.world.record_end(now, key, false, None);
         }
     }
 
@@ -187,9 +187,9 @@
     fn handle(&mut self, msg: Ended, cx: &mut Context<Self>) {
         let now = self.now();
         if msg.refused {
-            self.world.refused(now, msg.key);
+            self.world.record_refusal(now, msg.key);
         }
-        self.world.ended(now, msg.key, msg.fault, msg.tokens);
+        self.world.record_end(now, msg.key, msg.fault, msg.tokens);
         if self.world.queued() > 0 {
             self.tick_soon(cx);
         }
@@ -296,7 +296,7 @@
     type Result = MessageResult<Why>;
 
     fn handle(&mut self, msg: Why, _: &mut Context<Self>) -> Self::Result {
-        MessageResult(self.world.explanations.of(&msg.0).to_vec())
+        MessageResult(self.world.explanations.decisions_for(&msg.0).to_vec())
     }
 }
 
--- a/trouttrack_gateway/src/peers/heartbeats.rs
+++ b/trouttrack_gateway/src/peers/heartbeats.rs
@@ -63,7 +63,7 @@
         });
     }
     let now = shared.started.elapsed();
-    shared.peers().heard(now, digest);
+    shared.peers().record(now, digest);
 }
 
 /// Tells some peers each interval, for as long as the process lives.
--- a/trouttrack_gateway/src/request/session/frames.rs
+++ b/trouttrack_gateway/src/request/session/frames.rs
@@ -170,7 +170,7 @@
 
     fn bad_frame(&mut self, e: &FrameError) -> Taken {
         let reason = match e {
-            FrameError::Crossed { .. } => "crossed",
+            FrameError::OtherStream { .. } => "crossed",
             FrameError::OtherGeneration { .. } => "other-generation",
             FrameError::Gap { .. } => "gap",
             _ => "other",
--- a/trouttrack_gateway/src/request/session/recover.rs
+++ b/trouttrack_gateway/src/request/session/recover.rs
@@ -35,7 +35,7 @@
                     }
                     self.machine.step_failed()
                 }
-                StepResult::Try(Step::FenceThenElsewhere) => {
+                StepResult::Try(Step::FenceThenPlaceAgain) => {
                     if self.fence().await {
                         self.machine.fenced()
                     } else {
@@ -53,7 +53,7 @@
                     self.cancel_in_background(Duration::ZERO, false);
                     return self.go_elsewhere(broken.failure);
                 }
-                StepResult::Try(Step::Elsewhere | Step::End(_)) => {
+                StepResult::Try(Step::PlaceAgain | Step::End(_)) => {
                     self.shared.metrics.recovered("elsewhere");
                     return self.go_elsewhere(broken.failure);
                 }
--- a/trouttrack_load/src/compare/bench.rs
+++ b/trouttrack_load/src/compare/bench.rs
@@ -242,7 +242,7 @@
             match decision {
                 Decision::Place { request, upstream } => self.place(world, request, &upstream),
                 Decision::Refuse { request, .. } => {
-                    self.worlds[world].ended(self.now, request, false, None);
+                    self.worlds[world].record_end(self.now, request, false, None);
                     if let Some(i) = self.rows[world].remove(&request) {
                         if self.counted(i) {
                             self.raw[self.workload.arrivals[i].service].refused += 1;
@@ -261,7 +261,7 @@
         let i = self.rows[world][&key];
         if !self.engines[e].alive {
             // The connection is refused; the request goes elsewhere.
-            self.worlds[world].ended(self.now, key, true, None);
+            self.worlds[world].record_end(self.now, key, true, None);
             self.rows[world].remove(&key);
             self.submit(i, world, vec![upstream.to_owned()]);
             return;
@@ -376,7 +376,7 @@
         let r = self.engines[e].running.remove(&key)?;
         let a = &self.workload.arrivals[r.request];
         let tokens = self.fates[r.request].tokens;
-        self.worlds[r.world].ended(self.now, r.key, false, Some(tokens));
+        self.worlds[r.world].record_end(self.now, r.key, false, Some(tokens));
         self.rows[r.world].remove(&r.key);
         self.left -= 1;
         self.ends.push(self.now);
@@ -434,7 +434,7 @@
         let mut lost: Vec<Running> = sim.running.drain().map(|(_, r)| r).collect();
         lost.sort_by_key(|r| r.request);
         for r in lost {
-            self.worlds[r.world].ended(self.now, r.key, true, None);
+            self.worlds[r.world].record_end(self.now, r.key, true, None);
             self.rows[r.world].remove(&r.key);
             self.fates[r.request].tokens = 0;
             self.submit(r.request, r.world, vec![format!("e{e}")]);
--- a/trouttrack_load/src/patterns/fleet.rs
+++ b/trouttrack_load/src/patterns/fleet.rs
@@ -244,7 +244,9 @@
                 Decision::Place { request, upstream } => self.place(vm, request, &upstream),
                 Decision::Refuse { request, .. } => {
                     self.vms[vm].requests.remove(&request);
-                    self.vms[vm].world.ended(self.now, request, false, None);
+                    self.vms[vm]
+                        .world
+                        .record_end(self.now, request, false, None);
                 }
             }
         }
@@ -301,7 +303,7 @@
                 let tokens = self.arrivals[request].output;
                 self.vms[vm].requests.remove(&key);
                 let world = &mut self.vms[vm].world;
-                if world.ended(self.now, key, false, Some(tokens)) {
+                if world.record_end(self.now, key, false, Some(tokens)) {
                     self.tell_soon(vm);
                 }
                 self.decide(vm);
--- a/trouttrack_load/src/patterns/shed/play.rs
+++ b/trouttrack_load/src/patterns/shed/play.rs
@@ -193,7 +193,9 @@
                 Decision::Place { request, upstream } => self.send(vm, request, &upstream),
                 Decision::Refuse { request, .. } => {
                     self.outcome.unplaced += 1;
-                    self.vms[vm].world.ended(self.now, request, false, None);
+                    self.vms[vm]
+                        .world
+                        .record_end(self.now, request, false, None);
                 }
             }
         }
@@ -242,14 +244,14 @@
         self.outcome.turned_away += 1;
         let world = &mut self.vms[vm].world;
         match self.heeds {
-            Heeds::Nothing => world.ended(self.now, key, false, Some(0)),
+            Heeds::Nothing => world.record_end(self.now, key, false, Some(0)),
             Heeds::Own | Heeds::All => {
                 if let Word::Rests(rest) = self.word {
                     let life = Incarnation::new(&id(upstream), 0);
                     world.receive_notice(self.now, &life, UpstreamNotice::Pause(rest));
                 }
-                world.refused(self.now, key);
-                world.ended(self.now, key, false, None)
+                world.record_refusal(self.now, key);
+                world.record_end(self.now, key, false, None)
             }
         };
         let tells = self.heeds == Heeds::All;
@@ -288,7 +290,7 @@
             let life = Incarnation::new(&id(upstream), 0);
             world.receive_notice(self.now, &life, UpstreamNotice::Leaving);
         }
-        world.ended(self.now, key, false, Some(0));
+        world.record_end(self.now, key, false, Some(0));
         self.decide(vm);
     }
 }
--- a/trouttrack_load/src/patterns/telling.rs
+++ b/trouttrack_load/src/patterns/telling.rs
@@ -4,7 +4,7 @@
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use std::time::Duration;
-use trouttrack_core::membership::{FAR_TOLD, NEAR_TOLD, heartbeat_pause};
+use trouttrack_core::membership::{LOCAL_FANOUT, REMOTE_FANOUT, heartbeat_interval};
 
 /// Pause after a placement before it is told, as in the program.
 pub(super) const SOON: Duration = Duration::from_millis(3);
@@ -24,7 +24,7 @@
 
 /// The pause between a VM's heartbeats.
 pub(super) fn pause(layout: &Layout) -> Duration {
-    heartbeat_pause(layout.all_vms())
+    heartbeat_interval(layout.all_vms())
 }
 
 /// The VMs of the same failure domain, without the VM itself.
@@ -47,12 +47,12 @@
 pub(super) fn heartbeat(layout: &Layout, vm: usize, rng: &mut SmallRng) -> Vec<usize> {
     let mut near = near(layout, vm);
     near.shuffle(rng);
-    near.truncate(NEAR_TOLD);
+    near.truncate(LOCAL_FANOUT);
     let domain = vm / layout.vms;
     let elsewhere = |v: &usize| v / layout.vms != domain;
     let mut far: Vec<usize> = (0..layout.all_vms()).filter(elsewhere).collect();
     far.shuffle(rng);
-    near.extend(far.into_iter().take(FAR_TOLD));
+    near.extend(far.into_iter().take(REMOTE_FANOUT));
     near
 }
 
--- a/trouttrack_load/src/spread/configuration.rs
+++ b/trouttrack_load/src/spread/configuration.rs
@@ -10,7 +10,8 @@
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 use trouttrack_core::membership::{
-    FAR_TOLD, NEAR_TOLD, NEWS_LATE, heartbeat_pause, watchers_pause,
+    LOCAL_FANOUT, REMOTE_FANOUT, UPDATE_REQUEST_DELAY, heartbeat_interval,
+    watcher_heartbeat_interval,
 };
 
 /// Bytes of a configuration for 333 organisations and 250 routes, by the form of one.
@@ -99,8 +100,8 @@
 
     fn pause(&self, vm: usize) -> Duration {
         match self.watches(vm) && self.passing == Passing::FromVmToVm {
-            true => watchers_pause(self.layout.vms),
-            false => heartbeat_pause(self.layout.vms),
+            true => watcher_heartbeat_interval(self.layout.vms),
+            false => heartbeat_interval(self.layout.vms),
         }
     }
 
@@ -146,11 +147,11 @@
         let near = self.layout.in_domain(home).filter(|to| *to != vm);
         let near = match self.watches(vm) {
             true => near.collect(),
-            false => near.sample(&mut self.rng, NEAR_TOLD),
+            false => near.sample(&mut self.rng, LOCAL_FANOUT),
         };
         let all = 0..self.layout.vms;
         let far = all.filter(|to| self.layout.domain_of(*to) != home);
-        let far = far.sample(&mut self.rng, FAR_TOLD);
+        let far = far.sample(&mut self.rng, REMOTE_FANOUT);
         for to in near.into_iter().chain(far) {
             if self.has[to].is_none() && !self.rng.random_bool(self.layout.loss) {
                 self.queue.put(now + self.layout.way, Event::Heard(to, vm));
@@ -169,7 +170,7 @@
             Passing::FromVmToVm => self.fetch(vm, of, now),
         }
         if is_first && self.passing == Passing::FromVmToVm {
-            self.queue.put(now + NEWS_LATE, Event::Ask(vm));
+            self.queue.put(now + UPDATE_REQUEST_DELAY, Event::Ask(vm));
         }
     }
 
@@ -191,7 +192,7 @@
         if let Some(of) = self.peers.draw(vm, &mut self.rng) {
             self.fetch(vm, of, now);
         }
-        self.queue.put(now + NEWS_LATE, Event::Ask(vm));
+        self.queue.put(now + UPDATE_REQUEST_DELAY, Event::Ask(vm));
     }
 
     fn ask_store(&mut self, vm: usize, now: Duration) {
--- a/trouttrack_load/src/spread/confirmation.rs
+++ b/trouttrack_load/src/spread/confirmation.rs
@@ -7,8 +7,8 @@
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 use trouttrack_core::membership::{
-    CONFIRMATION_ASKED_AGAIN, CONFIRMED_BY_PEER, CONFIRMED_BY_STORE, CONFIRMED_BY_WATCHER,
-    NEAR_TOLD, heartbeat_pause, watchers_pause,
+    CONFIRMATION_RETRY_INTERVAL, LOCAL_FANOUT, PEER_REQUEST_AGE, STORE_REQUEST_AGE,
+    WATCHER_RENEWAL_AGE, heartbeat_interval, watcher_heartbeat_interval,
 };
 
 /// The age at which a confirmation is renewed: 0.4 of the bound of five seconds.
@@ -107,7 +107,7 @@
         queue.put(Duration::ZERO, Event::Confirm);
         queue.put(Duration::ZERO, Event::Watchers);
         for vm in 0..layout.near() {
-            let pause = heartbeat_pause(layout.vms);
+            let pause = heartbeat_interval(layout.vms);
             let offset = pause.mul_f64(rng.random_range(0.0..1.0));
             queue.put(offset, Event::Heartbeat(vm));
             queue.put(offset, Event::Look(vm));
@@ -115,7 +115,7 @@
         let vms = (0..layout.near()).map(|_| Vm {
             confirmed: Duration::ZERO,
             heard: None,
-            calls_at: rng.random_range(CONFIRMED_BY_STORE),
+            calls_at: rng.random_range(STORE_REQUEST_AGE),
         });
         Self {
             vms: vms.collect(),
@@ -132,7 +132,7 @@
     fn confirm(&mut self, now: Duration) {
         self.watcher = now;
         self.queue.put(
-            now + RENEWED.mul_f64(CONFIRMED_BY_WATCHER.end),
+            now + RENEWED.mul_f64(WATCHER_RENEWAL_AGE.end),
             Event::Confirm,
         );
     }
@@ -148,7 +148,7 @@
                 vm.confirmed = vm.confirmed.max(sent.saturating_sub(age));
             }
         }
-        let pause = watchers_pause(self.layout.vms);
+        let pause = watcher_heartbeat_interval(self.layout.vms);
         self.queue.put(now + pause, Event::Watchers);
     }
 
@@ -156,27 +156,27 @@
     fn heartbeat(&mut self, vm: usize, now: Duration) {
         let mut near: Vec<usize> = (0..self.vms.len()).collect();
         near.shuffle(&mut self.rng);
-        let told = near.iter().take(NEAR_TOLD).any(|to| *to == 0);
+        let told = near.iter().take(LOCAL_FANOUT).any(|to| *to == 0);
         if told && !self.rng.random_bool(self.layout.loss) {
             self.vms[vm].heard = Some(now);
         }
-        let pause = heartbeat_pause(self.layout.vms);
+        let pause = heartbeat_interval(self.layout.vms);
         self.queue.put(now + pause, Event::Heartbeat(vm));
     }
 
     fn look(&mut self, vm: usize, confirming: Confirming, now: Duration) {
         self.queue
-            .put(now + CONFIRMATION_ASKED_AGAIN, Event::Look(vm));
+            .put(now + CONFIRMATION_RETRY_INTERVAL, Event::Look(vm));
         let age = now - self.vms[vm].confirmed;
         if now > SETTLED {
             self.oldest = self.oldest.max(age);
         }
-        if confirming == Confirming::Asked && age > RENEWED.mul_f64(CONFIRMED_BY_PEER) {
+        if confirming == Confirming::Asked && age > RENEWED.mul_f64(PEER_REQUEST_AGE) {
             self.ask(vm, now);
         } else if age > RENEWED.mul_f64(self.vms[vm].calls_at) {
             self.calls += usize::from(now > SETTLED);
             self.vms[vm].confirmed = now;
-            self.vms[vm].calls_at = self.rng.random_range(CONFIRMED_BY_STORE);
+            self.vms[vm].calls_at = self.rng.random_range(STORE_REQUEST_AGE);
         }
     }
 
--- a/trouttrack_load/src/spread/news.rs
+++ b/trouttrack_load/src/spread/news.rs
@@ -9,7 +9,8 @@
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 use trouttrack_core::membership::{
-    CHANGES_IN_DATAGRAM, NEWS_ANSWERS, NEWS_LATE, relays, watchers_pause,
+    MAX_CHANGES_PER_DATAGRAM, MAX_UPDATE_DATAGRAMS, UPDATE_REQUEST_DELAY, relays,
+    watcher_heartbeat_interval,
 };
 
 /// Bytes of a change.
@@ -61,7 +62,7 @@
 pub fn play(layout: &Layout, changes: usize, telling: Telling, seed: u64) -> Reached {
     let mut domain = Domain::new(layout, changes, seed);
     domain.tell(telling);
-    let pause = watchers_pause(layout.vms);
+    let pause = watcher_heartbeat_interval(layout.vms);
     let first = pause.mul_f64(domain.rng.random_range(0.0..1.0));
     domain.queue.put(first, Event::Heartbeat);
     domain.run();
@@ -72,7 +73,7 @@
 impl<'a> Domain<'a> {
     fn new(layout: &'a Layout, changes: usize, seed: u64) -> Self {
         let near = layout.near();
-        let parts = changes.div_ceil(CHANGES_IN_DATAGRAM).max(1);
+        let parts = changes.div_ceil(MAX_CHANGES_PER_DATAGRAM).max(1);
         let mut domain = Self {
             layout,
             queue: Queue::new(),
@@ -101,7 +102,7 @@
     }
 
     fn send(&mut self, from: usize, now: Duration, to: usize, part: usize, pass_on: Vec<usize>) {
-        let bytes = CHANGE * CHANGES_IN_DATAGRAM as f64 + ADDRESS * pass_on.len() as f64;
+        let bytes = CHANGE * MAX_CHANGES_PER_DATAGRAM as f64 + ADDRESS * pass_on.len() as f64;
         let sent = self.up[from].carry(now, bytes);
         if !self.rng.random_bool(self.layout.loss) {
             let came = sent + self.layout.way;
@@ -136,10 +137,10 @@
     fn heartbeat(&mut self, now: Duration) {
         for vm in 1..self.has.len() {
             if self.has[vm].is_none() && !self.rng.random_bool(self.layout.loss) {
-                self.queue.put(now + NEWS_LATE, Event::Ask(vm));
+                self.queue.put(now + UPDATE_REQUEST_DELAY, Event::Ask(vm));
             }
         }
-        let pause = watchers_pause(self.layout.vms);
+        let pause = watcher_heartbeat_interval(self.layout.vms);
         self.queue.put(now + pause, Event::Heartbeat);
     }
 
@@ -150,7 +151,7 @@
             return;
         }
         let missing = (0..self.parts[vm].len()).filter(|p| !self.parts[vm][*p]);
-        let missing: Vec<usize> = missing.take(NEWS_ANSWERS).collect();
+        let missing: Vec<usize> = missing.take(MAX_UPDATE_DATAGRAMS).collect();
         for part in missing {
             self.send(of, now + self.layout.way, vm, part, Vec::new());
         }
--- a/trouttrack_load/src/spread/peers.rs
+++ b/trouttrack_load/src/spread/peers.rs
@@ -5,7 +5,7 @@
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use std::time::Duration;
-use trouttrack_core::membership::ANSWERED_AT_ONCE;
+use trouttrack_core::membership::MAX_CONCURRENT_TRANSFERS;
 
 /// What VMs have heard of each other, and which of them are busy answering.
 pub(super) struct Peers {
@@ -37,7 +37,7 @@
     /// A VM answers another one from `now` on. Returns when the answer is on its way whole;
     /// `None` if it is busy with others.
     pub(super) fn answer(&mut self, of: usize, now: Duration, bytes: f64) -> Option<Duration> {
-        if self.answering[of] >= ANSWERED_AT_ONCE {
+        if self.answering[of] >= MAX_CONCURRENT_TRANSFERS {
             return None;
         }
         self.answering[of] += 1;
--- a/trouttrack_load/src/spread/start.rs
+++ b/trouttrack_load/src/spread/start.rs
@@ -9,7 +9,7 @@
 use rand::seq::IteratorRandom;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
-use trouttrack_core::membership::{CALLERS, LISTS_AGAIN, NEAR_TOLD};
+use trouttrack_core::membership::{LIST_RETRY_INTERVAL, LOCAL_FANOUT, MEAN_STORE_CALLERS};
 
 /// Entries on one page of the store's list.
 const PAGE: usize = 200;
@@ -144,12 +144,13 @@
         if self.has[vm].is_some() {
             return;
         }
-        if self.rng.random_range(0.0..self.layout.near() as f64) < CALLERS {
+        if self.rng.random_range(0.0..self.layout.near() as f64) < MEAN_STORE_CALLERS {
             self.lists[vm] = true;
             self.queue.put(now, Event::List(vm, 0));
             return;
         }
-        self.queue.put(now + LISTS_AGAIN, Event::Draw(vm, false));
+        self.queue
+            .put(now + LIST_RETRY_INTERVAL, Event::Draw(vm, false));
         if is_first {
             self.queue.put(now + ASK_AGAIN, Event::Ask(vm, ASK_AGAIN));
         }
@@ -187,7 +188,9 @@
         }
         self.has[vm] = Some(now);
         let near = self.layout.in_domain(self.layout.domain_of(vm));
-        let told = near.filter(|to| *to != vm).sample(&mut self.rng, NEAR_TOLD);
+        let told = near
+            .filter(|to| *to != vm)
+            .sample(&mut self.rng, LOCAL_FANOUT);
         for to in told {
             if !self.rng.random_bool(self.layout.loss) {
                 self.queue.put(now + self.layout.way, Event::Heard(to, vm));
--- a/trouttrack_load/src/suspects/play.rs
+++ b/trouttrack_load/src/suspects/play.rs
@@ -11,8 +11,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 use trouttrack_core::Fingerprint;
-use trouttrack_core::membership::{FAR_TOLD, NEAR_TOLD, heartbeat_pause};
-use trouttrack_core::quarantine::{Quarantine, Suspect, keepers};
+use trouttrack_core::membership::{LOCAL_FANOUT, REMOTE_FANOUT, heartbeat_interval};
+use trouttrack_core::quarantine::{CrashRecord, Quarantine, record_holders};
 use trouttrack_core::upstream::Incarnation;
 
 /// The request that ends engines.
@@ -111,7 +111,7 @@
     vms: Vec<Vm>,
     engines: Vec<Engine>,
     runs: Vec<Run>,
-    on_the_way: HashMap<usize, Rc<Vec<Suspect>>>,
+    on_the_way: HashMap<usize, Rc<Vec<CrashRecord>>>,
     next_datagram: usize,
     next_request: Fingerprint,
     third_at: Option<Duration>,
@@ -195,7 +195,7 @@
             }
         }
         for vm in 0..self.layout.vms {
-            let first = heartbeat_pause(self.layout.vms).mul_f64(self.rng.random());
+            let first = heartbeat_interval(self.layout.vms).mul_f64(self.rng.random());
             self.schedule(first, Event::Heartbeat(vm));
         }
     }
@@ -258,8 +258,8 @@
     }
 
     /// Several single ends may have come together here: then all hear of it.
-    fn hear(&mut self, vm: usize, told: &[Suspect]) {
-        let heard = self.vms[vm].suspects.hear(self.now, told);
+    fn hear(&mut self, vm: usize, told: &[CrashRecord]) {
+        let heard = self.vms[vm].suspects.merge_records(self.now, told);
         for request in heard.held {
             let said_by_one = told.iter().find(|s| s.fingerprint == request);
             let known_there = said_by_one.map_or(0, |s| s.ends.len());
@@ -341,7 +341,11 @@
             return;
         }
         self.engines[engine].runs.retain(|r| *r != run);
-        if life == self.vms[vm].life && self.vms[vm].suspects.ran_well(self.now, request) {
+        if life == self.vms[vm].life
+            && self.vms[vm]
+                .suspects
+                .record_completed_run(self.now, request)
+        {
             self.tell(vm, request);
         }
     }
@@ -380,7 +384,10 @@
         }
         let ended = Incarnation::new(&format!("e{engine:03}"), self.engines[engine].born);
         self.engines[engine].born = self.engines[engine].up_at.as_millis() as u64;
-        if self.vms[vm].suspects.ended(self.now, request, &ended) {
+        if self.vms[vm]
+            .suspects
+            .record_crash(self.now, request, &ended)
+        {
             self.tell(vm, request);
         }
         let attempts = if long { LONG_ATTEMPTS } else { SHORT_ATTEMPTS };
@@ -420,13 +427,13 @@
         if !self.layout.tell {
             return;
         }
-        let told = Rc::new(self.vms[from].suspects.told_of(self.now, &[request]));
+        let told = Rc::new(self.vms[from].suspects.records_of(self.now, &[request]));
         let others = (0..self.layout.vms).filter(|to| *to != from);
         let concerned: Vec<usize> = match self.vms[from].suspects.hold(self.now, request) {
             Some(_) => others.collect(),
             None => {
                 let others = others.map(|to| (to, self.names[to].as_str()));
-                let drawn = keepers(request, others, |(_, name)| name);
+                let drawn = record_holders(request, others, |(_, name)| name);
                 drawn.into_iter().map(|(to, _)| to).collect()
             }
         };
@@ -435,7 +442,7 @@
         }
     }
 
-    fn post(&mut self, from: usize, to: usize, told: &Rc<Vec<Suspect>>) {
+    fn post(&mut self, from: usize, to: usize, told: &Rc<Vec<CrashRecord>>) {
         self.vms[from].told += bytes(told);
         let cut = self.is_cut(from) != self.is_cut(to);
         if cut || self.rng.random_bool(LOST) {
@@ -450,7 +457,7 @@
     /// Whoever hears a heartbeat and knows something else tells it.
     fn heartbeat(&mut self, from: usize) {
         let others: Vec<usize> = (0..self.layout.vms).filter(|to| *to != from).collect();
-        let heard = others.sample(&mut self.rng, NEAR_TOLD + FAR_TOLD);
+        let heard = others.sample(&mut self.rng, LOCAL_FANOUT + REMOTE_FANOUT);
         let heard: Vec<usize> = heard.copied().collect();
         let own = self.vms[from].suspects.checksum();
         for to in heard {
@@ -459,10 +466,10 @@
             if !self.layout.tell || cut || known.is_empty() || known.checksum() == own {
                 continue;
             }
-            let told = Rc::new(known.told(self.now, MOST_TOLD));
+            let told = Rc::new(known.held_records(self.now, MOST_TOLD));
             self.post(to, from, &told);
         }
-        let next = self.now + heartbeat_pause(self.layout.vms);
+        let next = self.now + heartbeat_interval(self.layout.vms);
         self.schedule(next, Event::Heartbeat(from));
     }
 
--- a/trouttrack_load/src/suspects/told.rs
+++ b/trouttrack_load/src/suspects/told.rs
@@ -1,6 +1,6 @@
 //! What a datagram weighs.
 
-use trouttrack_core::quarantine::Suspect;
+use trouttrack_core::quarantine::CrashRecord;
 
 /// Bytes of a request's fingerprint, with its length.
 const REQUEST: usize = 20;
@@ -10,7 +10,7 @@
 const FRAME: usize = 30;
 
 /// The bytes of a datagram that tells of these requests.
-pub(super) fn bytes(suspects: &[Suspect]) -> usize {
+pub(super) fn bytes(suspects: &[CrashRecord]) -> usize {
     let each = suspects.iter().map(|s| REQUEST + END * s.ends.len());
     FRAME + each.sum::<usize>()
 }
--- a/trouttrack_state/src/lease/mod.rs
+++ b/trouttrack_state/src/lease/mod.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use std::time::Duration;
 use trouttrack_core::Time;
-use trouttrack_core::lease::{Held, LeaseRecord, Observed};
+use trouttrack_core::lease::{HeldLease, LeaseRecord, ObservedLease};
 
 /// How long a write tries to find out what became of a lost reply; the holder
 /// does not act meanwhile past its time.
@@ -17,8 +17,8 @@
     key: String,
     name: String,
     duration: Duration,
-    held: Option<Held>,
-    observed: Observed,
+    held: Option<HeldLease>,
+    observed: ObservedLease,
 }
 
 /// What changed in a step.
@@ -42,14 +42,14 @@
             name: name.to_owned(),
             duration,
             held: None,
-            observed: Observed::default(),
+            observed: ObservedLease::default(),
         }
     }
 
     /// The lease, if the holder may act at `now`. It is asked for again just
     /// before each thing that is done under it.
     #[must_use]
-    pub fn acting(&self, now: Time) -> Option<&Held> {
+    pub fn acting(&self, now: Time) -> Option<&HeldLease> {
         self.held.as_ref().filter(|h| h.may_act(now))
     }
 
@@ -64,7 +64,7 @@
         match self.held.take() {
             Some(held) if !held.may_act(now) => {
                 // The time has passed, perhaps while this process was paused.
-                self.observed = Observed::default();
+                self.observed = ObservedLease::default();
                 Ok(LeaseChange::Lost)
             }
             Some(held) if held.renew_due(now) => self.renew(held, now).await,
@@ -76,15 +76,15 @@
         }
     }
 
-    async fn renew(&mut self, held: Held, now: Time) -> Result<LeaseChange, PlatformError> {
+    async fn renew(&mut self, held: HeldLease, now: Time) -> Result<LeaseChange, PlatformError> {
         let record = held.record.clone();
         let written = self.write(Condition::Version(held.version), &record).await;
         match written {
             Ok(Write::Done(version)) => {
-                self.held = Some(Held {
+                self.held = Some(HeldLease {
                     version,
                     record,
-                    since: now,
+                    sent_at: now,
                 });
                 Ok(LeaseChange::None)
             }
@@ -101,7 +101,7 @@
         let (condition, epoch) = match &object {
             None => (Condition::Absent, 1),
             Some(o) => match serde_json::from_slice::<LeaseRecord>(&o.body) {
-                Ok(record) if !self.observed.see(now, o.version, &record) => {
+                Ok(record) if !self.observed.observe(now, o.version, &record) => {
                     return Ok(LeaseChange::None);
                 }
                 Ok(record) => (Condition::Version(o.version), record.epoch + 1),
@@ -116,10 +116,10 @@
         };
         match self.write(condition, &record).await? {
             Write::Done(version) => {
-                self.held = Some(Held {
+                self.held = Some(HeldLease {
                     version,
                     record,
-                    since: now,
+                    sent_at: now,
                 });
                 Ok(LeaseChange::Won)
             }
