--- a/trouttrack_core/src/world/tables.rs
+++ b/trouttrack_core/src/world/tables.rs
@@ -5,7 +5,9 @@
 use crate::length::{LengthKey, LengthTable};
 use crate::membership::{Evacuations, UpstreamUse};
 use crate::routing::{AnyPolicy, ExplanationTable};
-use crate::upstream::{RateShare, Report, Spec, Upstream, UpstreamKey, UpstreamTable, Words};
+use crate::upstream::{
+    LoadReport, RateShare, Upstream, UpstreamKey, UpstreamNotices, UpstreamSpec, UpstreamTable,
+};
 use crate::{OrganisationId, RequestId, ServiceId, Time};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -123,7 +125,7 @@
     Unreachable,
     /// The upstream that is the first to accept work again has asked for a pause beyond the
     /// request's deadline.
-    Resting,
+    UpstreamPaused,
     /// At the rate limits of all upstreams the request could not be sent before its deadline.
     RateLimited,
     /// A retry was needed and the service's retry budget is exhausted.
@@ -214,7 +216,7 @@
     pub(crate) limits: Limits,
     pub(crate) peers: PeerHeartbeats,
     /// Status reported by upstreams about themselves; each row holds a copy of its own.
-    pub(crate) words: Words,
+    pub(crate) notices: UpstreamNotices,
     /// Share that this VM has of a rate limit common to all VMs; none until it is set.
     pub(crate) rate_share: RateShare,
     pub(crate) rng: SmallRng,
@@ -237,20 +239,20 @@
             deadlines: BTreeSet::new(),
             limits: Limits::default(),
             peers: PeerHeartbeats::default(),
-            words: Words::default(),
+            notices: UpstreamNotices::default(),
             refused: Vec::new(),
         }
     }
 
     /// Replaces the upstreams by those of a new configuration.
-    pub fn configure(&mut self, specs: Vec<Spec>) {
+    pub fn configure(&mut self, specs: Vec<UpstreamSpec>) {
         self.upstreams
             .configure(specs, &self.settings.failure_domain);
         self.refresh_all_statuses();
     }
 
     /// Adds or updates one upstream.
-    pub fn put_upstream(&mut self, spec: Spec) {
+    pub fn put_upstream(&mut self, spec: UpstreamSpec) {
         let id = spec.id.clone();
         self.upstreams.insert(spec, &self.settings.failure_domain);
         self.refresh_status(&id);
@@ -262,7 +264,7 @@
     }
 
     /// Records an upstream's load report.
-    pub fn report(&mut self, upstream: &str, report: Report) {
+    pub fn report(&mut self, upstream: &str, report: LoadReport) {
         if let Some(row) = self.row_mut(upstream) {
             row.take_report(report);
         }
@@ -270,9 +272,9 @@
 
     /// This VM's use of upstreams, as sent in its heartbeat.
     #[must_use]
-    pub fn own_uses(&self, now: Time) -> Vec<UpstreamUse> {
+    pub fn local_uses(&self, now: Time) -> Vec<UpstreamUse> {
         let is_reported = |u: &Upstream| {
-            let rate_limited = u.handovers.own(now).recent > 0;
+            let rate_limited = u.handovers.own_counts(now).recent > 0;
             u.own_running > 0 || rate_limited || u.losses.age(now).is_some()
         };
         let used = self.upstreams.iter().filter(|(_, u)| is_reported(u));
@@ -283,8 +285,8 @@
             held_tokens: u.own_held() as u64,
             loading_tokens: u.own_loading() as u64,
             lost_ms: u.losses.age(now).map(|age| age.as_millis() as u64),
-            handovers: u.handovers.own(now).all,
-            recent_handovers: u.handovers.own(now).recent,
+            handovers: u.handovers.own_counts(now).total,
+            recent_handovers: u.handovers.own_counts(now).recent,
         })
         .collect()
     }
@@ -303,21 +305,21 @@
     }
 
     /// Whether the rate limit of an upstream, if it has one, permits one more request.
-    pub(crate) fn bears_one_more(&self, now: Time, u: &Upstream) -> bool {
-        let near = u.spec.failure_domain == self.settings.failure_domain;
-        u.bears_one_more(now, self.rate_share, near, self.settings.seed)
+    pub(crate) fn admits_one_more(&self, now: Time, u: &Upstream) -> bool {
+        let is_local = u.spec.failure_domain == self.settings.failure_domain;
+        u.admits_one_more(now, self.rate_share, is_local, self.settings.seed)
     }
 
     /// Requests per second that this VM and those that share a rate limit with it may send
     /// to an upstream, if it is limited.
     pub(crate) fn shared_rate(&self, now: Time, u: &Upstream) -> Option<f64> {
-        let near = u.spec.failure_domain == self.settings.failure_domain;
-        u.shared_rate(now, self.rate_share, near)
+        let is_local = u.spec.failure_domain == self.settings.failure_domain;
+        u.shared_rate(now, self.rate_share, is_local)
     }
 
     /// Sets the failure domains under evacuation; their upstreams get no new work.
     pub fn set_evacuations(&mut self, evacuations: Evacuations) {
-        self.upstreams.evacuate(evacuations);
+        self.upstreams.set_evacuations(evacuations);
     }
 
     fn row_mut(&mut self, upstream: &str) -> Option<&mut Upstream> {
@@ -327,7 +329,9 @@
 
     /// Adds a request to the queue; the next tick decides on it.
     pub fn submit(&mut self, now: Time, submission: Submission) -> RequestKey {
-        let expected = self.lengths.remaining(submission.length_key, 0, 0.5);
+        let expected = self
+            .lengths
+            .estimate_remaining(submission.length_key, 0, 0.5);
         let cost = (submission.prompt_tokens as f64 + expected) / submission.weight.max(1e-3);
         let (class, deadline) = (submission.priority, submission.deadline);
         let organisation = submission.organisation.clone();
@@ -368,7 +372,13 @@
     /// failure that counts against the upstream; `tokens` is the output length of a
     /// complete answer. Returns whether an engine has freed memory, in which case other VMs
     /// are to be notified.
-    pub fn ended(&mut self, now: Time, key: RequestKey, fault: bool, tokens: Option<u64>) -> bool {
+    pub fn record_end(
+        &mut self,
+        now: Time,
+        key: RequestKey,
+        fault: bool,
+        tokens: Option<u64>,
+    ) -> bool {
         let Some(row) = self.requests.remove(key) else {
             return false;
         };
@@ -378,17 +388,17 @@
         };
         self.limits.remove(&row.submission.organisation);
         if let Some(tokens) = tokens {
-            self.lengths.learn(row.submission.length_key, tokens);
+            self.lengths.record(row.submission.length_key, tokens);
         }
         if let Some(u) = self.upstreams.get_mut(upstream) {
             u.remove(key);
             // If neither is known, as when the caller disconnects, earlier failures still count.
             if fault {
-                u.circuit.failed(now);
+                u.circuit.record_failure(now);
             } else if tokens.is_some() {
-                u.circuit.succeeded();
-                u.losses.answered(now);
-                u.refusals.ran();
+                u.circuit.record_success();
+                u.losses.record_answer(now);
+                u.refusals.record_run();
             }
         }
         row.submission.prompt_tokens > 0
@@ -396,10 +406,10 @@
 
     /// Records that the request's upstream could not be reached: no connection, or no
     /// answer in time.
-    pub fn unreachable(&mut self, now: Time, key: RequestKey) {
+    pub fn record_unreachable(&mut self, now: Time, key: RequestKey) {
         let upstream = self.requests.get(key).and_then(|row| row.upstream);
         if let Some(u) = upstream.and_then(|k| self.upstreams.get_mut(k)) {
-            u.circuit.unreachable(now);
+            u.circuit.record_unreachable(now);
         }
     }
 
@@ -408,19 +418,19 @@
     /// shedding by 4 plain upstreams (6 and 7 VMs), 4,940 of 49,651 non-repeatable plain
     /// calls were refused when it counted as a success, and 509 when it did not; the score
     /// rose by 0.08 and 0.05.
-    pub fn refused(&mut self, now: Time, key: RequestKey) {
+    pub fn record_refusal(&mut self, now: Time, key: RequestKey) {
         let upstream = self.requests.get(key).and_then(|row| row.upstream);
         if let Some(u) = upstream.and_then(|k| self.upstreams.get_mut(k)) {
-            u.refusals.refused(now);
-            u.losses.lost(now);
+            u.refusals.record_refusal(now);
+            u.losses.record_loss(now);
         }
     }
 
     /// Records that the attempt's connection closed before any answer.
-    pub fn lost(&mut self, now: Time, key: RequestKey) {
+    pub fn record_loss(&mut self, now: Time, key: RequestKey) {
         let upstream = self.requests.get(key).and_then(|row| row.upstream);
         if let Some(u) = upstream.and_then(|k| self.upstreams.get_mut(k)) {
-            u.losses.lost(now);
+            u.losses.record_loss(now);
         }
     }
 
--- a/trouttrack_front/src/follow/bootstrap.rs
+++ b/trouttrack_front/src/follow/bootstrap.rs
@@ -13,7 +13,7 @@
 use rand::RngExt;
 use std::rc::Rc;
 use std::time::Duration;
-use trouttrack_core::membership::{CALLERS, LISTS_AGAIN, Revision};
+use trouttrack_core::membership::{LIST_RETRY_INTERVAL, MEAN_STORE_CALLERS, Revision};
 
 /// How long a starting VM waits for the list of VMs.
 const VM_LIST_TIMEOUT: Duration = Duration::from_millis(3500);
@@ -26,7 +26,7 @@
     wait_for_vm_list(front).await;
     // A watcher does not wait, because the other VMs depend on its list.
     while !watches_store(front) && !is_drawn_to_call_store(front) {
-        if tokio::time::timeout(LISTS_AGAIN, fetch_from_any_peer(front, known))
+        if tokio::time::timeout(LIST_RETRY_INTERVAL, fetch_from_any_peer(front, known))
             .await
             .is_ok()
         {
@@ -43,7 +43,7 @@
 /// Fetches the upstreams from a VM whose revision is newer than `known`, within a time limit and
 /// without falling back to the store. Returns whether they are known now.
 pub(super) async fn try_fetch_from_peers(front: &Rc<Front>, known: Revision) -> bool {
-    let asking = tokio::time::timeout(LISTS_AGAIN, fetch_from_any_peer(front, known));
+    let asking = tokio::time::timeout(LIST_RETRY_INTERVAL, fetch_from_any_peer(front, known));
     asking.await.is_ok()
 }
 
@@ -58,7 +58,7 @@
 /// Decides at random whether this VM makes a store call whose result other VMs need as well.
 pub(super) fn is_drawn_to_call_store(front: &Front) -> bool {
     let near = front.peers.listed_in(&front.failure_domain).max(1);
-    rand::rng().random_range(0.0..near as f64) < CALLERS
+    rand::rng().random_range(0.0..near as f64) < MEAN_STORE_CALLERS
 }
 
 /// Asks peers until one returns the list or the upstreams have advanced past `known`.
--- a/trouttrack_front/src/follow/confirm.rs
+++ b/trouttrack_front/src/follow/confirm.rs
@@ -8,7 +8,7 @@
 use rand::RngExt;
 use std::rc::Rc;
 use std::time::Duration;
-use trouttrack_core::membership::{CONFIRMED_BY_STORE, CONFIRMED_BY_WATCHER};
+use trouttrack_core::membership::{STORE_REQUEST_AGE, WATCHER_RENEWAL_AGE};
 use trouttrack_platform::{Kind, Reading, StoreError};
 
 /// Timeout for a confirmation call, after which it is retried. On a link with packet loss a
@@ -108,8 +108,8 @@
 impl RenewalAge {
     fn draw() -> Self {
         Self {
-            watcher: rand::rng().random_range(CONFIRMED_BY_WATCHER),
-            other: rand::rng().random_range(CONFIRMED_BY_STORE),
+            watcher: rand::rng().random_range(WATCHER_RENEWAL_AGE),
+            other: rand::rng().random_range(STORE_REQUEST_AGE),
         }
     }
 
--- a/trouttrack_front/src/follow/holds.rs
+++ b/trouttrack_front/src/follow/holds.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use trouttrack_core::Fingerprint;
-use trouttrack_core::quarantine::keepers;
+use trouttrack_core::quarantine::record_holders;
 use trouttrack_platform::{HoldEntry, Kind, Object, StoreError};
 
 /// Timeout for a store call.
@@ -30,7 +30,7 @@
             restored_epoch = front.store_contact.restored_after(epoch) => {
                 epoch = restored_epoch;
                 pause_after_restore(&front).await;
-                front.suspects.held_now_or_before()
+                front.suspects.held_or_released()
             }
             changed = front.suspects.changed() => changed,
         };
@@ -46,7 +46,7 @@
 fn is_writer(front: &Front, request: Fingerprint) -> bool {
     let vms = front.peers.names_heard().into_iter();
     let vms = vms.chain([front.name.clone()]);
-    let first = keepers(request, vms, String::as_str);
+    let first = record_holders(request, vms, String::as_str);
     first
         .iter()
         .take(WRITER_COUNT)
@@ -67,7 +67,7 @@
     if front.suspects.hold(request).is_none() {
         return front.store.remove(Kind::Vms, &name, CALL_TIMEOUT).await;
     }
-    let ended = front.suspects.ended_under(request);
+    let ended = front.suspects.counted_crashes(request);
     let entry = HoldEntry { ended };
     front
         .store
--- a/trouttrack_front/src/follow/kind.rs
+++ b/trouttrack_front/src/follow/kind.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
-use trouttrack_core::membership::{NEWS_LATE, Revision};
+use trouttrack_core::membership::{Revision, UPDATE_REQUEST_DELAY};
 use trouttrack_platform::{Reading, StoreError};
 
 /// How long a watch waits for changes. Each watch is a billed call; an answered one shows peers
@@ -169,7 +169,7 @@
     let mut known = follower.revision();
     let mut until = Instant::now() + follower.peer_timeout();
     while Instant::now() < until {
-        tokio::time::sleep(NEWS_LATE).await;
+        tokio::time::sleep(UPDATE_REQUEST_DELAY).await;
         if !follower.is_behind() {
             return false;
         }
@@ -179,6 +179,6 @@
         }
         follower.ask_peers();
     }
-    tokio::time::sleep(NEWS_LATE).await;
+    tokio::time::sleep(UPDATE_REQUEST_DELAY).await;
     follower.is_behind()
 }
--- a/trouttrack_front/src/follow/self_reports.rs
+++ b/trouttrack_front/src/follow/self_reports.rs
@@ -11,7 +11,9 @@
 use std::rc::Rc;
 use trouttrack_core::Time;
 use trouttrack_core::rescue::Departure;
-use trouttrack_core::upstream::{Incarnation, RateLimit, RateStatement, Said, ToldLimit};
+use trouttrack_core::upstream::{
+    Incarnation, RateLimit, RateStatement, ReportedLimit, UpstreamNotice,
+};
 use trouttrack_platform::{AnswerHead, EngineReport, OwnWord};
 use trouttrack_telemetry::{events, record};
 
@@ -54,7 +56,7 @@
         status: Some(head.status.as_u16()),
         asked_at,
     };
-    let departure = Departure::noticed(front.clock.now());
+    let departure = Departure::from_notice(front.clock.now());
     apply_statement(front, upstream, &received, departure);
 }
 
@@ -83,15 +85,18 @@
         status: None,
         asked_at,
     };
-    apply_statement(front, upstream, &received, Departure::reported(asked_at));
+    apply_statement(front, upstream, &received, Departure::from_report(asked_at));
 }
 
 /// Handles limits that upstreams stated or ended, as passed on by a peer.
-pub(crate) fn heard_from_peer(front: &Front, peer: &str, limits: &[ToldLimit]) {
+pub(crate) fn heard_from_peer(front: &Front, peer: &str, limits: &[ReportedLimit]) {
     let now = front.clock.now();
     for limit in limits {
         let statement = limit.statement(now);
-        if !front.scheduler.hear(&limit.life, Said::Takes(statement)) {
+        if !front
+            .scheduler
+            .receive_notice(&limit.life, UpstreamNotice::RateLimit(statement))
+        {
             continue;
         }
         let received = ReceivedStatement {
@@ -123,10 +128,10 @@
         return;
     }
     let life = upstream.incarnation();
-    let hear = |said| front.scheduler.hear(&life, said);
+    let hear = |notice| front.scheduler.receive_notice(&life, notice);
     let limit_changed = received.word.rate_limit.is_some_and(|limit| {
         let now = front.clock.now();
-        hear(Said::Takes(RateStatement::new(
+        hear(UpstreamNotice::RateLimit(RateStatement::new(
             limit,
             received.asked_at,
             now,
@@ -135,8 +140,8 @@
     let rests = received
         .word
         .pause
-        .is_some_and(|pause| hear(Said::Rests(pause)));
-    let leaving = received.word.leaving && hear(Said::Leaves);
+        .is_some_and(|pause| hear(UpstreamNotice::Pause(pause)));
+    let leaving = received.word.leaving && hear(UpstreamNotice::Leaving);
     if rests || leaving || limit_changed {
         record(front, &life, received);
     }
--- a/trouttrack_front/src/follow/upstreams.rs
+++ b/trouttrack_front/src/follow/upstreams.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use trouttrack_core::membership::Revision;
 use trouttrack_core::rescue::Departure;
-use trouttrack_core::upstream::Said;
+use trouttrack_core::upstream::UpstreamNotice;
 use trouttrack_platform::{Change, EntryError, Kind, Object, UpstreamEntry};
 use trouttrack_telemetry::{events, record};
 
@@ -314,14 +314,19 @@
         remove(front, &before);
     }
     if let Some(leaving) = seen.leaves {
-        front.scheduler.hear(&leaving.incarnation(), Said::Leaves);
+        front
+            .scheduler
+            .receive_notice(&leaving.incarnation(), UpstreamNotice::Leaving);
         start_departure(front, &leaving);
     }
     if let Some(upstream) = front.upstreams.get(id)
-        && front.scheduler.word_of(&upstream.incarnation()).leaves()
+        && front
+            .scheduler
+            .availability_of(&upstream.incarnation())
+            .is_leaving()
     {
         // The entry came back for an incarnation that has already announced its departure.
-        handle_leaving(front, &upstream, Departure::noticed(front.clock.now()));
+        handle_leaving(front, &upstream, Departure::from_notice(front.clock.now()));
     }
 }
 
@@ -405,6 +410,6 @@
         }
         expire_lost_evacuations(&front);
         front.http.sweep();
-        front.scheduler.forget_words();
+        front.scheduler.expire_notices();
     }
 }
--- a/trouttrack_front/src/peers/confirm.rs
+++ b/trouttrack_front/src/peers/confirm.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use trouttrack_core::ConfigVersion;
-use trouttrack_core::membership::{CONFIRMATION_ASKED_AGAIN, CONFIRMED_BY_PEER};
+use trouttrack_core::membership::{CONFIRMATION_RETRY_INTERVAL, PEER_REQUEST_AGE};
 
 /// Longest interval between requests: while the store is unreachable, no peer has a newer
 /// confirmation.
@@ -31,11 +31,11 @@
 /// the watcher and a VM of another failure domain, as the watcher may be gone. Runs until the
 /// process ends.
 pub(crate) async fn keep_confirmed(front: Rc<Front>, socket: Rc<UdpSocket>) {
-    let mut interval = CONFIRMATION_ASKED_AGAIN;
+    let mut interval = CONFIRMATION_RETRY_INTERVAL;
     let mut ask_watcher = true;
     loop {
         if let Some(left) = time_left(&front) {
-            interval = CONFIRMATION_ASKED_AGAIN;
+            interval = CONFIRMATION_RETRY_INTERVAL;
             ask_watcher = true;
             tokio::time::sleep(left.clamp(MIN_CHECK_INTERVAL, MAX_CHECK_INTERVAL)).await;
             continue;
@@ -52,7 +52,7 @@
     if !front.routing.is_known() || watches_store(front) {
         return Some(MAX_CHECK_INTERVAL);
     }
-    let due = front.routing.renewed_after().mul_f64(CONFIRMED_BY_PEER);
+    let due = front.routing.renewed_after().mul_f64(PEER_REQUEST_AGE);
     let left = due.checked_sub(front.routing.age()?)?;
     (!left.is_zero()).then_some(left)
 }
@@ -108,7 +108,7 @@
     if config_version != front.routing.version() || !front.routing.is_known() {
         return;
     }
-    if let Some(at) = front.peers.at_least(echo, age) {
+    if let Some(at) = front.peers.earliest_time(echo, age) {
         front.routing.confirmed(at);
     }
 }
--- a/trouttrack_front/src/peers/message.rs
+++ b/trouttrack_front/src/peers/message.rs
@@ -8,8 +8,8 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use trouttrack_core::membership::{Digest, Evacuations, Revision, UpstreamUse};
-use trouttrack_core::quarantine::Suspect;
-use trouttrack_core::upstream::ToldLimit;
+use trouttrack_core::quarantine::CrashRecord;
+use trouttrack_core::upstream::ReportedLimit;
 use trouttrack_core::{ConfigVersion, UpstreamId};
 use trouttrack_platform::UpstreamEntry;
 
@@ -38,7 +38,7 @@
     /// datagram; it may be fetched.
     ConfigReady(ConfigVersion),
     /// Requests under which upstreams ended.
-    Suspects(Vec<Suspect>),
+    Suspects(Vec<CrashRecord>),
     /// The receiver is asked how long ago its configuration was confirmed. Numbered with
     /// the sender's heartbeats.
     ConfirmationWanted(Echo),
@@ -69,7 +69,7 @@
     /// A sum over the requests that are held there.
     pub(super) suspects: u64,
     /// The limits that upstreams have named, as far as it knows.
-    pub(super) limits: Vec<ToldLimit>,
+    pub(super) limits: Vec<ReportedLimit>,
 }
 
 /// How long ago a VM's configuration was confirmed.
@@ -93,7 +93,7 @@
     /// Its use of upstreams.
     pub(super) uses: Vec<UpstreamUse>,
     /// The limits that upstreams have named lately, as far as it knows.
-    pub(super) limits: Vec<ToldLimit>,
+    pub(super) limits: Vec<ReportedLimit>,
 }
 
 /// Names a numbered datagram.
--- a/trouttrack_front/src/request/attempt.rs
+++ b/trouttrack_front/src/request/attempt.rs
@@ -166,7 +166,7 @@
     };
     let continues = to.continue_from.is_some();
     let sent_at = front.clock.now();
-    let still_wanted = || continues || front.scheduler.wants_work(&upstream.id);
+    let still_wanted = || continues || front.scheduler.accepts_requests(&upstream.id);
     let response = front
         .http
         .send_if(upstream.addr, req, reuse, still_wanted)
--- a/trouttrack_front/src/request/plain.rs
+++ b/trouttrack_front/src/request/plain.rs
@@ -24,7 +24,7 @@
 
 /// Serves a request.
 pub(crate) async fn serve(front: &Rc<Front>, admitted: Admitted, body: Bytes) -> Reply {
-    let Some(service) = admitted.route.draw_service(&mut rand::rng()).cloned() else {
+    let Some(service) = admitted.route.sample_service(&mut rand::rng()).cloned() else {
         return End::not_run("the route has no service").reply(front, &admitted, 0);
     };
     let deadline = front.clock.instant(admitted.deadline);
--- a/trouttrack_front/src/request/quarantine.rs
+++ b/trouttrack_front/src/request/quarantine.rs
@@ -76,7 +76,9 @@
     /// Records a run that completed.
     pub(super) fn record_run(&self, front: &Front, admitted: &Admitted, body: &Bytes) {
         if !front.suspects.is_empty() {
-            front.suspects.ran_well(self.fingerprint(admitted, body));
+            front
+                .suspects
+                .record_completed_run(self.fingerprint(admitted, body));
         }
     }
 }
--- a/trouttrack_front/src/request/stream/relay.rs
+++ b/trouttrack_front/src/request/stream/relay.rs
@@ -161,8 +161,8 @@
             return self.resume_moved(source, moved, ticket).await;
         }
         let failure = AttemptFailure::new(Failure::Lost, STREAM_TRUNCATED);
-        let wants_work_at = |b: &Rc<Upstream>| self.front.scheduler.wants_work(&b.id);
-        match source.backup.take().filter(wants_work_at) {
+        let accepts_requests_at = |b: &Rc<Upstream>| self.front.scheduler.accepts_requests(&b.id);
+        match source.backup.take().filter(accepts_requests_at) {
             Some(target) => {
                 self.on_failure(&source.upstream, &failure).await;
                 self.check_quarantine()?;
--- a/trouttrack_front/src/rescue/generation_move.rs
+++ b/trouttrack_front/src/rescue/generation_move.rs
@@ -85,19 +85,19 @@
     }
 
     /// Whether a copy is expected to finish before the engine leaves.
-    fn fits(&self, departure: &watch::Receiver<Option<Departure>>) -> bool {
+    fn can_complete(&self, departure: &watch::Receiver<Option<Departure>>) -> bool {
         let (now, tokens) = (self.front.clock.now(), self.ticket.held_tokens());
         let departure = departure.borrow();
         departure
             .as_ref()
-            .is_some_and(|d| d.fits(now, &self.id, tokens))
+            .is_some_and(|d| d.can_complete(now, &self.id, tokens))
     }
 
     /// Remaining time of the copies scheduled before this one.
     fn time_until_turn(&self, departure: &watch::Receiver<Option<Departure>>) -> Option<Duration> {
         let departure = departure.borrow();
-        let begins_at = departure.as_ref()?.begins_at(&self.id);
-        let wait = self.front.clock.until(begins_at);
+        let pre_copy_at = departure.as_ref()?.pre_copy_at(&self.id);
+        let wait = self.front.clock.until(pre_copy_at);
         (!wait.is_zero()).then_some(wait)
     }
 
@@ -130,7 +130,7 @@
     ) -> Option<Rc<Upstream>> {
         let mut blocked_by = "no copy was started";
         while self.has_time_left(departure) {
-            if !self.fits(departure) {
+            if !self.can_complete(departure) {
                 // The departure may be postponed.
                 blocked_by = "the link is too slow to copy it in time";
                 tokio::time::sleep(RETRY_BACKOFF).await;
@@ -179,8 +179,11 @@
     ) {
         loop {
             let started_at = self.front.clock.now();
-            let last_call = departure.borrow().as_ref().map(Departure::last_call);
-            if last_call.is_none_or(|last| started_at >= last) {
+            let stop_and_copy_deadline = departure
+                .borrow()
+                .as_ref()
+                .map(Departure::stop_and_copy_deadline);
+            if stop_and_copy_deadline.is_none_or(|last| started_at >= last) {
                 return;
             }
             let answer = self
--- a/trouttrack_front/src/rescue/observe.rs
+++ b/trouttrack_front/src/rescue/observe.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use trouttrack_core::Time;
 use trouttrack_core::fleet::EngineSpec;
-use trouttrack_core::rescue::REPORT_AGE;
+use trouttrack_core::rescue::MAX_REPORT_AGE;
 use trouttrack_platform::EngineReport;
 use trouttrack_telemetry::{events, record};
 
@@ -13,9 +13,9 @@
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Delay before each report request, after the departure notice and after the previous report.
-/// The first report lists the generations. Reports may be [`REPORT_AGE`] old, so only the
+/// The first report lists the generations. Reports may be [`MAX_REPORT_AGE`] old, so only the
 /// second one shows the remaining time.
-const REPORT_DELAYS: [Duration; 2] = [Duration::ZERO, REPORT_AGE];
+const REPORT_DELAYS: [Duration; 2] = [Duration::ZERO, MAX_REPORT_AGE];
 
 /// Requests reports of a leaving engine and schedules the moves accordingly.
 pub(crate) async fn observe(front: Rc<Front>, upstream: Rc<Upstream>) {
@@ -43,13 +43,15 @@
 ) {
     let held_tokens: u64 = report.generations.iter().map(|(_, tokens)| tokens).sum();
     let (service, failure_domain) = (&upstream.service, &upstream.failure_domain);
-    let near_room = front.scheduler.room_near(service, failure_domain);
+    let near_room = front
+        .scheduler
+        .free_tokens_in_domain(service, failure_domain);
     let now = front.clock.now();
     upstream.update_departure(|departure| {
         if let Some(left) = report.leaves_in {
-            departure.leaves_in(asked_at, left);
+            departure.set_remaining(asked_at, left);
         }
-        departure.holds(now, report.generations.clone(), engine, near_room);
+        departure.set_generations(now, report.generations.clone(), engine, near_room);
     });
     record!(
         events::DEPARTURE,
--- a/trouttrack_front/src/state/scheduler.rs
+++ b/trouttrack_front/src/state/scheduler.rs
@@ -9,9 +9,10 @@
 use std::time::Duration;
 use tokio::sync::{Notify, oneshot};
 use trouttrack_core::UpstreamId;
-use trouttrack_core::membership::{Evacuations, LIMITS_TOLD, UpstreamUse};
+use trouttrack_core::membership::{Evacuations, MAX_LIMITS_PER_DATAGRAM, UpstreamUse};
 use trouttrack_core::upstream::{
-    Incarnation, RateLimit, RateShare, Said, Spec, ToldLimit, Upstream, Word,
+    Availability, Incarnation, RateLimit, RateShare, ReportedLimit, Upstream, UpstreamNotice,
+    UpstreamSpec,
 };
 use trouttrack_core::world::{
     Decision, NotRunReason, RequestKey, Submission, World, WorldSettings,
@@ -119,8 +120,8 @@
         Placed {
             fill: row.map_or(0.0, |u| u.fill_with(None)),
             running: row.map_or(0, Upstream::estimated_running),
-            loading: row.map_or(Duration::ZERO, |u| u.loading_before(now, own_prompt)),
-            known: row.and_then(|u| u.oldest_word(now)),
+            loading: row.map_or(Duration::ZERO, |u| u.prefill_wait(now, own_prompt)),
+            known: row.and_then(|u| u.oldest_report_age(now)),
             upstream,
             ticket,
         }
@@ -162,13 +163,13 @@
     }
 
     /// Replaces the set of upstreams that requests may be sent to.
-    pub fn configure(&self, specs: Vec<Spec>) {
+    pub fn configure(&self, specs: Vec<UpstreamSpec>) {
         self.world.borrow_mut().configure(specs);
         self.tick();
     }
 
     /// Inserts or updates one upstream.
-    pub fn put_upstream(&self, spec: Spec) {
+    pub fn put_upstream(&self, spec: UpstreamSpec) {
         self.world.borrow_mut().put_upstream(spec);
     }
 
@@ -189,9 +190,9 @@
 
     /// Applies a status reported by an upstream about itself. Returns whether it changed
     /// anything.
-    pub fn hear(&self, life: &Incarnation, said: Said) -> bool {
+    pub fn receive_notice(&self, life: &Incarnation, notice: UpstreamNotice) -> bool {
         let now = self.clock.now();
-        self.world.borrow_mut().hear(now, life, said)
+        self.world.borrow_mut().receive_notice(now, life, notice)
     }
 
     /// The rate limit that an upstream has set for all VMs together.
@@ -199,38 +200,38 @@
     pub fn rate_limit(&self, upstream: &str) -> RateLimit {
         let world = self.world.borrow();
         let row = world.upstreams.get_by_id(upstream);
-        row.map_or(RateLimit::Unlimited, Upstream::named_limit)
+        row.map_or(RateLimit::Unlimited, Upstream::announced_limit)
     }
 
     /// The upstream rate limits to send to other VMs; with `changed_within`, only those that
     /// changed within that time.
     #[must_use]
-    pub fn limits(&self, changed_within: Option<Duration>) -> Vec<ToldLimit> {
+    pub fn limits(&self, changed_within: Option<Duration>) -> Vec<ReportedLimit> {
         let now = self.clock.now();
         let after = changed_within.map_or(Duration::ZERO, |time| now.saturating_sub(time));
         let mut limits = self.world.borrow().limits(now, after);
-        limits.truncate(LIMITS_TOLD);
+        limits.truncate(MAX_LIMITS_PER_DATAGRAM);
         limits
     }
 
     /// The last status that an incarnation of an upstream reported about itself.
     #[must_use]
-    pub fn word_of(&self, life: &Incarnation) -> Word {
-        self.world.borrow().word_of(life)
+    pub fn availability_of(&self, life: &Incarnation) -> Availability {
+        self.world.borrow().availability_of(life)
     }
 
     /// Drops old status reports of upstreams that are no longer listed.
-    pub fn forget_words(&self) {
-        self.world.borrow_mut().forget_words(self.clock.now());
+    pub fn expire_notices(&self) {
+        self.world.borrow_mut().expire_notices(self.clock.now());
     }
 
     /// Whether an upstream may get new work according to its own status report and to
     /// evacuations by operators.
     #[must_use]
-    pub fn wants_work(&self, upstream: &str) -> bool {
+    pub fn accepts_requests(&self, upstream: &str) -> bool {
         let world = self.world.borrow();
         let row = world.upstreams.get_by_id(upstream);
-        row.is_some_and(|u| u.wants_work(self.clock.now()))
+        row.is_some_and(|u| u.accepts_requests(self.clock.now()))
     }
 
     /// Sets this VM's share of rate limits that apply to all VMs together.
@@ -245,18 +246,18 @@
     }
 
     /// Applies a peer's report of its use of upstreams.
-    pub fn peer_uses(&self, peer: &str, failure_domain: &str, uses: &[UpstreamUse]) {
+    pub fn record_peer_uses(&self, peer: &str, failure_domain: &str, uses: &[UpstreamUse]) {
         let now = self.clock.now();
         self.world
             .borrow_mut()
-            .peer_uses(now, peer, failure_domain, uses);
+            .record_peer_uses(now, peer, failure_domain, uses);
     }
 
     /// Applies the aggregated use of a failure domain's upstreams by the VMs of that domain.
-    pub fn domain_uses_told(&self, failure_domain: &str, uses: &[UpstreamUse]) {
+    pub fn record_domain_uses(&self, failure_domain: &str, uses: &[UpstreamUse]) {
         let now = self.clock.now();
         let mut world = self.world.borrow_mut();
-        world.domain_uses_told(now, failure_domain, uses);
+        world.record_domain_uses(now, failure_domain, uses);
     }
 
     /// The aggregated use of this failure domain's upstreams by its VMs.
@@ -267,23 +268,23 @@
 
     /// This VM's use of upstreams.
     #[must_use]
-    pub fn own_uses(&self) -> Vec<UpstreamUse> {
-        self.world.borrow().own_uses(self.clock.now())
+    pub fn local_uses(&self) -> Vec<UpstreamUse> {
+        self.world.borrow().local_uses(self.clock.now())
     }
 
     /// Free memory of the other upstreams of a failure domain, in tokens.
     #[must_use]
-    pub fn room_near(&self, service: &str, failure_domain: &str) -> f64 {
+    pub fn free_tokens_in_domain(&self, service: &str, failure_domain: &str) -> f64 {
         let world = self.world.borrow();
-        world.room_near(self.clock.now(), service, failure_domain)
+        world.free_tokens_in_domain(self.clock.now(), service, failure_domain)
     }
 
     /// Whether an upstream accepts new work now.
     #[must_use]
-    pub fn is_open(&self, upstream: &str) -> bool {
+    pub fn is_available(&self, upstream: &str) -> bool {
         let world = self.world.borrow();
         let row = world.upstreams.get_by_id(upstream);
-        row.is_some_and(|u| u.open(self.clock.now()))
+        row.is_some_and(|u| u.is_available(self.clock.now()))
     }
 
     /// Whether requests of this VM are running on an upstream.
--- a/trouttrack_front/src/state/suspects.rs
+++ b/trouttrack_front/src/state/suspects.rs
@@ -5,7 +5,7 @@
 use std::cell::RefCell;
 use tokio::sync::Notify;
 use trouttrack_core::Fingerprint;
-use trouttrack_core::quarantine::{Hold, Quarantine, QuarantineSettings, Suspect};
+use trouttrack_core::quarantine::{CrashRecord, Hold, Quarantine, QuarantineSettings};
 use trouttrack_core::upstream::Incarnation;
 use trouttrack_telemetry::{events, record};
 
@@ -66,7 +66,7 @@
         let new = self
             .table
             .borrow_mut()
-            .ended(now, request, &upstream.incarnation());
+            .record_crash(now, request, &upstream.incarnation());
         if !new {
             return;
         }
@@ -75,7 +75,7 @@
             upstream = upstream.id.as_str(),
             born = upstream.born,
             fingerprint = text(request).as_str(),
-            ends = self.ended_under(request).len(),
+            ends = self.counted_crashes(request).len(),
         );
         if !was_held {
             self.log_hold(request, "own");
@@ -85,10 +85,10 @@
     }
 
     /// Records that a request ran to completion.
-    pub fn ran_well(&self, request: Fingerprint) {
+    pub fn record_completed_run(&self, request: Fingerprint) {
         let now = self.clock.now();
         let was_held = self.hold(request).is_some();
-        if self.table.borrow_mut().ran_well(now, request) {
+        if self.table.borrow_mut().record_completed_run(now, request) {
             record!(events::RAN_WELL, fingerprint = text(request).as_str());
             self.notify_peers(request);
         }
@@ -108,15 +108,15 @@
 
     /// The upstream incarnations whose crashes count against a request.
     #[must_use]
-    pub fn ended_under(&self, request: Fingerprint) -> Vec<Incarnation> {
-        self.table.borrow().ended_under(request)
+    pub fn counted_crashes(&self, request: Fingerprint) -> Vec<Incarnation> {
+        self.table.borrow().counted_crashes(request)
     }
 
     /// The requests that are held or may have been held before.
     #[must_use]
-    pub fn held_now_or_before(&self) -> Vec<Fingerprint> {
+    pub fn held_or_released(&self) -> Vec<Fingerprint> {
         let table = self.table.borrow();
-        table.held_now_or_before(self.clock.now()).collect()
+        table.held_or_released(self.clock.now()).collect()
     }
 
     fn hold_changed(&self, request: Fingerprint) {
@@ -156,27 +156,30 @@
 
     /// The records of these requests, as sent to peers.
     #[must_use]
-    pub fn told_of(&self, requests: &[Fingerprint]) -> Vec<Suspect> {
-        self.table.borrow().told_of(self.clock.now(), requests)
+    pub fn records_of(&self, requests: &[Fingerprint]) -> Vec<CrashRecord> {
+        self.table.borrow().records_of(self.clock.now(), requests)
     }
 
     /// The records sent to a peer whose quarantine differs from this one.
     #[must_use]
-    pub fn told(&self) -> Vec<Suspect> {
+    pub fn held_records(&self) -> Vec<CrashRecord> {
         self.table
             .borrow()
-            .told(self.clock.now(), MAX_SUSPECTS_PER_MESSAGE)
+            .held_records(self.clock.now(), MAX_SUSPECTS_PER_MESSAGE)
     }
 
     /// Merges the records of a peer. Returns those of which this VM knows more, to be sent back
     /// to the peer. All VMs are notified if the merge combines crashes that were known
     /// separately into a hold.
-    pub fn hear(&self, told: &[Suspect], peer: &str) -> Vec<Suspect> {
-        let heard = self.table.borrow_mut().hear(self.clock.now(), told);
+    pub fn merge_records(&self, told: &[CrashRecord], peer: &str) -> Vec<CrashRecord> {
+        let heard = self
+            .table
+            .borrow_mut()
+            .merge_records(self.clock.now(), told);
         for &request in &heard.held {
             self.log_hold(request, peer);
             self.hold_changed(request);
-            let is_same_request = |s: &&Suspect| s.fingerprint == request;
+            let is_same_request = |s: &&CrashRecord| s.fingerprint == request;
             let ends_known_to_peer = told
                 .iter()
                 .find(is_same_request)
@@ -188,7 +191,7 @@
                 self.notify_peers(request);
             }
         }
-        self.told_of(&heard.known_better)
+        self.records_of(&heard.newer_runs)
     }
 
     /// Checksum of the quarantine; VMs with equal checksums hold the same requests.
--- a/trouttrack_front/src/state/ticket.rs
+++ b/trouttrack_front/src/state/ticket.rs
@@ -48,13 +48,16 @@
         self.fault.set(true);
         let now = self.now();
         let mut world = self.scheduler.world.borrow_mut();
-        world.unreachable(now, self.key);
+        world.record_unreachable(now, self.key);
     }
 
     /// Records that the upstream rejected the request, and notifies the other VMs.
     pub fn refused(&self) {
         let now = self.now();
-        self.scheduler.world.borrow_mut().refused(now, self.key);
+        self.scheduler
+            .world
+            .borrow_mut()
+            .record_refusal(now, self.key);
         self.scheduler.tell_soon();
     }
 
@@ -62,7 +65,7 @@
     pub fn lost(&self) {
         self.fault.set(true);
         let now = self.now();
-        self.scheduler.world.borrow_mut().lost(now, self.key);
+        self.scheduler.world.borrow_mut().record_loss(now, self.key);
         self.scheduler.tell_soon();
     }
 
@@ -77,7 +80,7 @@
     pub fn target(&self, home: &str, avoid: &[UpstreamId]) -> Option<Target> {
         let now = self.now();
         let world = self.scheduler.world.borrow();
-        world.target(now, self.key, home, avoid)
+        world.move_target(now, self.key, home, avoid)
     }
 
     /// Memory that the generation occupies, in tokens.
@@ -105,7 +108,7 @@
         let now = self.now();
         self.scheduler.waiting.borrow_mut().remove(&self.key);
         let mut world = self.scheduler.world.borrow_mut();
-        let releases_memory = world.ended(now, self.key, self.fault.get(), self.tokens.get());
+        let releases_memory = world.record_end(now, self.key, self.fault.get(), self.tokens.get());
         let has_queued = world.queued() > 0;
         drop(world);
         if releases_memory {
--- a/trouttrack_front/src/state/upstreams.rs
+++ b/trouttrack_front/src/state/upstreams.rs
@@ -11,7 +11,7 @@
 use trouttrack_core::fleet::{RouteTable, ServiceSpec};
 use trouttrack_core::membership::{Entries, Revision};
 use trouttrack_core::rescue::Departure;
-use trouttrack_core::upstream::{Incarnation, Spec};
+use trouttrack_core::upstream::{Incarnation, UpstreamSpec};
 use trouttrack_core::{FailureDomain, ServiceId, Time, UpstreamId};
 use trouttrack_platform::UpstreamEntry;
 use trouttrack_telemetry::{events, record};
@@ -31,7 +31,7 @@
     pub failure_domain: FailureDomain,
     slots: usize,
     /// End of the warm-up period.
-    warm_at: Cell<Time>,
+    warm_up_ends_at: Cell<Time>,
     departure: watch::Sender<Option<Departure>>,
 }
 
@@ -44,7 +44,7 @@
             service: entry.service,
             failure_domain: entry.failure_domain,
             slots: entry.slots,
-            warm_at: Cell::new(now + entry.cold_for),
+            warm_up_ends_at: Cell::new(now + entry.cold_for),
             departure: watch::Sender::new(None),
         }
     }
@@ -64,7 +64,7 @@
     /// Remaining warm-up time.
     #[must_use]
     pub fn cold_for(&self, now: Time) -> Duration {
-        self.warm_at.get().saturating_sub(now)
+        self.warm_up_ends_at.get().saturating_sub(now)
     }
 
     /// Whether an entry describes this incarnation.
@@ -262,7 +262,7 @@
     /// Updates the remaining warm-up time of a known upstream. An upstream may turn cold at any
     /// time, and may be warm earlier than it announced.
     fn update_cold_for(&self, upstream: &Upstream, cold_for: Duration) {
-        upstream.warm_at.set(self.clock.now() + cold_for);
+        upstream.warm_up_ends_at.set(self.clock.now() + cold_for);
         if !cold_for.is_zero() {
             record!(
                 events::UPSTREAM_COLD,
@@ -299,7 +299,7 @@
 
     /// A departure noticed at the current time.
     fn departure_now(&self) -> Departure {
-        Departure::noticed(self.clock.now())
+        Departure::from_notice(self.clock.now())
     }
 
     /// Handles the removal of an entry. Returns the upstream if it is removed from the table
@@ -349,7 +349,7 @@
 
     /// Removes and returns the upstreams whose entries lapsed and can no longer come back.
     pub fn expired(&self) -> Vec<Rc<Upstream>> {
-        let gone = self.entries.borrow_mut().gone(self.clock.now());
+        let gone = self.entries.borrow_mut().take_expired(self.clock.now());
         gone.iter().filter_map(|id| self.remove_known(id)).collect()
     }
 
@@ -369,8 +369,8 @@
     }
 
     /// Records that a call to the store was answered.
-    pub fn store_back(&self) {
-        self.entries.borrow_mut().store_back(self.clock.now());
+    pub fn store_recovered(&self) {
+        self.entries.borrow_mut().store_recovered(self.clock.now());
     }
 
     /// Records the services for which all rows were rebuilt.
@@ -386,9 +386,9 @@
 
     /// The scheduler rows of all upstreams, sorted by id.
     #[must_use]
-    pub fn specs(&self, table: &RouteTable) -> Vec<Spec> {
+    pub fn specs(&self, table: &RouteTable) -> Vec<UpstreamSpec> {
         let by_id = self.by_id.borrow();
-        let mut specs: Vec<Spec> = by_id.values().map(|u| spec(u, table)).collect();
+        let mut specs: Vec<UpstreamSpec> = by_id.values().map(|u| spec(u, table)).collect();
         // The order of candidates must not depend on the map's iteration order.
         specs.sort_unstable_by(|a, b| a.id.cmp(&b.id));
         specs
@@ -396,7 +396,7 @@
 
     /// The scheduler row of one upstream.
     #[must_use]
-    pub fn spec_of(&self, id: &str, table: &RouteTable) -> Option<Spec> {
+    pub fn spec_of(&self, id: &str, table: &RouteTable) -> Option<UpstreamSpec> {
         let by_id = self.by_id.borrow();
         by_id.get(id).map(|u| spec(u, table))
     }
@@ -426,17 +426,17 @@
     );
 }
 
-fn spec(upstream: &Upstream, table: &RouteTable) -> Spec {
+fn spec(upstream: &Upstream, table: &RouteTable) -> UpstreamSpec {
     let service = table.service(&upstream.service);
     let engine = service.and_then(|s| s.engine.as_ref());
-    Spec {
+    UpstreamSpec {
         id: upstream.id.clone(),
         born: upstream.born,
         failure_domain: upstream.failure_domain.clone(),
         services: vec![upstream.service.clone()],
         capacity_tokens: engine.map_or(0, |e| e.memory_tokens),
         max_running: upstream.slots,
-        warm_at: upstream.warm_at.get(),
+        warm_up_ends_at: upstream.warm_up_ends_at.get(),
         cold_rate: service.map_or(0.0, |s| s.cold_rate),
     }
 }
--- a/trouttrack_front/tests/front/evacuation.rs
+++ b/trouttrack_front/tests/front/evacuation.rs
@@ -26,8 +26,8 @@
     bed
 }
 
-fn is_open(front: &Front, upstream: &str) -> bool {
-    front.scheduler.is_open(upstream)
+fn is_available(front: &Front, upstream: &str) -> bool {
+    front.scheduler.is_available(upstream)
 }
 
 /// Sends requests, checks that all are served, and returns how many reached each upstream.
@@ -48,13 +48,13 @@
     assert!(served_by(&bed).await[0] > 0);
     bed.store.evacuate("a");
     until("the evacuation is in force", || {
-        !is_open(&bed.front.front, "u1")
+        !is_available(&bed.front.front, "u1")
     })
     .await;
     assert_eq!(served_by(&bed).await, [0, REQUESTS]);
     bed.store.take_back("a");
     until("the evacuation is taken back", || {
-        is_open(&bed.front.front, "u1")
+        is_available(&bed.front.front, "u1")
     })
     .await;
     assert!(served_by(&bed).await[0] > 0);
@@ -65,7 +65,7 @@
     let bed = bed(PLAIN).await;
     bed.store.evacuate("a");
     until("the evacuation is in force", || {
-        !is_open(&bed.front.front, "u1")
+        !is_available(&bed.front.front, "u1")
     })
     .await;
     bed.store.set_fault(StoreFault::Refuse);
@@ -81,7 +81,7 @@
     let mut bed = bed(PLAIN).await;
     bed.store.evacuate("a");
     until("the evacuation is in force", || {
-        !is_open(&bed.front.front, "u1")
+        !is_available(&bed.front.front, "u1")
     })
     .await;
     let late = Upstream::start("u4", PLAIN, "a").await;
@@ -100,7 +100,7 @@
     bed.store.evacuate("a");
     bed.store.evacuate("b");
     until("both evacuations are in force", || {
-        !is_open(&bed.front.front, "u1") && !is_open(&bed.front.front, "u3")
+        !is_available(&bed.front.front, "u1") && !is_available(&bed.front.front, "u3")
     })
     .await;
     let reply = bed.send(&plain("r1", "many")).await;
@@ -114,7 +114,7 @@
     let bed = bed(PLAIN).await;
     bed.store.evacuate("a");
     until("the evacuation is in force", || {
-        !is_open(&bed.front.front, "u1")
+        !is_available(&bed.front.front, "u1")
     })
     .await;
     bed.store.put_config(&config(2));
@@ -133,7 +133,7 @@
     bed.store.forget_history();
     bed.store.set_fault(StoreFault::None);
     until("the evacuation is in force", || {
-        !is_open(&bed.front.front, "u1")
+        !is_available(&bed.front.front, "u1")
     })
     .await;
     bed.store.set_fault(StoreFault::DeafWatches);
@@ -141,7 +141,7 @@
     bed.store.forget_history();
     bed.store.set_fault(StoreFault::None);
     until("the evacuation is taken back", || {
-        is_open(&bed.front.front, "u1")
+        is_available(&bed.front.front, "u1")
     })
     .await;
 }
@@ -151,13 +151,13 @@
     let bed = bed(PLAIN).await;
     bed.store.evacuate("a");
     until("the evacuation is in force", || {
-        !is_open(&bed.front.front, "u1")
+        !is_available(&bed.front.front, "u1")
     })
     .await;
     let late = start(&settings(&bed.store, "front-2", "")).await;
     let late = late.expect("a front");
     until("the second VM is ready", || late.front.lifecycle.is_ready()).await;
-    assert!(!is_open(&late.front, "u1"));
+    assert!(!is_available(&late.front, "u1"));
 }
 
 /// Starts a second front whose own store has all objects except the evacuations, like a front
@@ -192,10 +192,13 @@
     // Raises the revision above those of the other store.
     bed.store.put_config(&config(7));
     bed.store.evacuate("a");
-    until("the evacuation is in force", || !is_open(&late.front, "u1")).await;
+    until("the evacuation is in force", || {
+        !is_available(&late.front, "u1")
+    })
+    .await;
     bed.store.take_back("a");
     until("the evacuation is taken back", || {
-        is_open(&late.front, "u1")
+        is_available(&late.front, "u1")
     })
     .await;
 }
@@ -232,7 +235,7 @@
     let other = others.next().expect("another");
     bed.store.evacuate(&other.failure_domain);
     until("the evacuation is in force", || {
-        !is_open(&bed.front.front, &other.id)
+        !is_available(&bed.front.front, &other.id)
     })
     .await;
     bed.store.put_upstream(source, true);
@@ -250,7 +253,7 @@
     bed.store.evacuate("a");
     bed.store.set_fault(StoreFault::None);
     until("the evacuation is in force", || {
-        !is_open(&bed.front.front, "u1")
+        !is_available(&bed.front.front, "u1")
     })
     .await;
     tokio::time::sleep(PAST_EVACUATION_BOUND).await;
--- a/trouttrack_front/tests/front/incarnations.rs
+++ b/trouttrack_front/tests/front/incarnations.rs
@@ -35,7 +35,7 @@
 fn accepts_work(bed: &Bed, id: &str) -> bool {
     let front = &bed.front.front;
     let stays = front.upstreams.get(id).is_some_and(|u| !u.is_leaving());
-    stays && front.scheduler.is_open(id)
+    stays && front.scheduler.is_available(id)
 }
 
 /// Sends requests and returns how many of them arrived at an upstream.
--- a/trouttrack_front/tests/front/plain.rs
+++ b/trouttrack_front/tests/front/plain.rs
@@ -231,7 +231,7 @@
         assert_eq!(bed.send(&req).await.status, 504);
     }
     let scheduler = &bed.front.front.scheduler;
-    assert!(bed.upstreams.iter().all(|u| scheduler.is_open(&u.id)));
+    assert!(bed.upstreams.iter().all(|u| scheduler.is_available(&u.id)));
 }
 
 #[actix_rt::test]
--- a/trouttrack_front/tests/front/streams.rs
+++ b/trouttrack_front/tests/front/streams.rs
@@ -183,7 +183,7 @@
     let (req, addr) = (long("r1", "draft"), bed.addr());
     let answer = actix_rt::spawn(async move { req.send(addr).await });
     until("the prompt is loaded while the generation runs", || {
-        let uses = bed.front.front.scheduler.own_uses();
+        let uses = bed.front.front.scheduler.local_uses();
         uses.iter().any(|u| u.running == 1 && u.loading_tokens == 0)
     })
     .await;
--- a/trouttrack_gateway/src/dispatch/actor.rs
+++ b/trouttrack_gateway/src/dispatch/actor.rs
@@ -106,7 +106,7 @@
                 };
                 self.answer(request, Err(refusal));
                 let now = self.now();
-                self.world.ended(now, request, false, None);
+                self.world.record_end(now, request, false, None);
             }
         }
     }
@@ -129,7 +129,7 @@
         let now = self.now();
         for key in gone {
             self.waiting.remove(&key);
-            self.world.ended(now, key, false, None);
+            self.world.record_end(now, key, false, None);
         }
     }
 
@@ -187,9 +187,9 @@
     fn handle(&mut self, msg: Ended, cx: &mut Context<Self>) {
         let now = self.now();
         if msg.refused {
-            self.world.refused(now, msg.key);
+            self.world.record_refusal(now, msg.key);
         }
-        self.world.ended(now, msg.key, msg.fault, msg.tokens);
+        self.world.record_end(now, msg.key, msg.fault, msg.tokens);
         if self.world.queued() > 0 {
             self.tick_soon(cx);
         }
@@ -296,7 +296,7 @@
     type Result = MessageResult<Why>;
 
     fn handle(&mut self, msg: Why, _: &mut Context<Self>) -> Self::Result {
-        MessageResult(self.world.explanations.of(&msg.0).to_vec())
+        MessageResult(self.world.explanations.decisions_for(&msg.0).to_vec())
     }
 }
 
@@ -304,7 +304,7 @@
     type Result = Vec<UpstreamUse>;
 
     fn handle(&mut self, _: Uses, _: &mut Context<Self>) -> Self::Result {
-        self.world.own_uses(self.now())
+        self.world.local_uses(self.now())
     }
 }
 
@@ -314,7 +314,7 @@
     fn handle(&mut self, msg: PeerUses, _: &mut Context<Self>) {
         let now = self.now();
         self.world
-            .peer_uses(now, &msg.peer, &msg.failure_domain, &msg.uses);
+            .record_peer_uses(now, &msg.peer, &msg.failure_domain, &msg.uses);
     }
 }
 
--- a/trouttrack_load/src/patterns/fleet.rs
+++ b/trouttrack_load/src/patterns/fleet.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use trouttrack_core::length::LengthKey;
 use trouttrack_core::membership::{Evacuations, Revision, UpstreamUse};
-use trouttrack_core::upstream::{RateShare, Spec};
+use trouttrack_core::upstream::{RateShare, UpstreamSpec};
 use trouttrack_core::world::{Decision, RequestKey, Submission, World};
 use trouttrack_engine::{Engine, SequenceKey, StepOutput, Submit};
 
@@ -103,16 +103,16 @@
     format!("d{domain}")
 }
 
-fn spec(pattern: Pattern, layout: &Layout, engine: usize) -> Spec {
+fn spec(pattern: Pattern, layout: &Layout, engine: usize) -> UpstreamSpec {
     let settings = engine_settings(layout);
-    let (warm_at, cold_rate) = pattern.cold(engine / layout.engines);
-    Spec {
+    let (warm_up_ends_at, cold_rate) = pattern.cold(engine / layout.engines);
+    UpstreamSpec {
         id: format!("e{engine:03}"),
         failure_domain: domain_name(engine / layout.engines),
         services: vec![SERVICE.to_owned()],
         capacity_tokens: settings.capacity_tokens(),
         max_running: settings.max_batch,
-        warm_at,
+        warm_up_ends_at,
         born: 0,
         cold_rate,
     }
@@ -244,7 +244,9 @@
                 Decision::Place { request, upstream } => self.place(vm, request, &upstream),
                 Decision::Refuse { request, .. } => {
                     self.vms[vm].requests.remove(&request);
-                    self.vms[vm].world.ended(self.now, request, false, None);
+                    self.vms[vm]
+                        .world
+                        .record_end(self.now, request, false, None);
                 }
             }
         }
@@ -301,7 +303,7 @@
                 let tokens = self.arrivals[request].output;
                 self.vms[vm].requests.remove(&key);
                 let world = &mut self.vms[vm].world;
-                if world.ended(self.now, key, false, Some(tokens)) {
+                if world.record_end(self.now, key, false, Some(tokens)) {
                     self.tell_soon(vm);
                 }
                 self.decide(vm);
@@ -334,7 +336,7 @@
         let next = self.now + telling::pause(self.layout);
         self.schedule(next, Event::Heartbeat(vm));
         let receivers = telling::heartbeat(self.layout, vm, &mut self.rng);
-        let uses = Rc::new(self.vms[vm].world.own_uses(self.now));
+        let uses = Rc::new(self.vms[vm].world.local_uses(self.now));
         let sums = Rc::new(self.vms[vm].world.domain_uses(self.now));
         for to in receivers {
             self.send(vm, to, &uses, false);
@@ -346,7 +348,7 @@
 
     fn tell(&mut self, vm: usize) {
         self.vms[vm].tells = false;
-        let uses = Rc::new(self.vms[vm].world.own_uses(self.now));
+        let uses = Rc::new(self.vms[vm].world.local_uses(self.now));
         let used: Vec<usize> = uses.iter().map(|u| self.domain_of(&u.upstream)).collect();
         let telling = self.telling;
         let receivers = telling.receivers(self.layout, vm, &used, &mut self.rng);
@@ -384,10 +386,10 @@
         let domain = domain_name(told.from / self.layout.vms);
         let world = &mut self.vms[vm].world;
         match told.sums {
-            true => world.domain_uses_told(self.now, &domain, &told.uses),
+            true => world.record_domain_uses(self.now, &domain, &told.uses),
             false => {
                 let name = format!("v{}", told.from);
-                world.peer_uses(self.now, &name, &domain, &told.uses);
+                world.record_peer_uses(self.now, &name, &domain, &told.uses);
             }
         }
     }
