--- a/trouttrack_front/src/peers/table.rs
+++ b/trouttrack_front/src/peers/table.rs
@@ -1,4 +1,4 @@
-//! Where the peers are, and what was heard of them last.
+//! Peer addresses and the state each peer last reported in a heartbeat.
 
 use super::message::{Echo, Heartbeat, Load};
 use rand::seq::IndexedRandom;
@@ -15,32 +15,36 @@
 use trouttrack_core::{ConfigVersion, FailureDomain, Time};
 use trouttrack_telemetry::{events, record};
 
-/// The shortest silence after which a peer counts as lost: several heartbeats, and as
-/// long as core's tables count its use of upstreams.
-const SILENCE: Duration = Duration::from_secs(5);
-/// A VM heard of this recently is still there: a few heartbeats.
-const SURELY_ALIVE: Duration = Duration::from_secs(1);
+/// Minimum time without a heartbeat before a peer is considered lost. Spans several
+/// heartbeats and equals the time for which the tables in `trouttrack_core` count the
+/// peer's use of upstreams.
+const MIN_PEER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum age of a peer's last message, a few heartbeats, for the peer to be relied on
+/// to accept requests.
+const RECENT_MESSAGE_WINDOW: Duration = Duration::from_secs(1);
 
-/// What was heard of a peer last.
+/// The last state received from a peer.
 #[derive(Clone, Debug)]
 pub struct Heard {
-    /// When.
+    /// When the last message was received.
     pub at: Time,
-    /// Where it stands.
+    /// The peer's failure domain.
     pub failure_domain: FailureDomain,
-    /// Whether it is stopping.
+    /// Whether the peer is shutting down.
     pub draining: bool,
-    /// How long before that the store had last answered it.
+    /// Time between the store's last response to the peer and `at`.
     pub store_age: Option<Duration>,
-    /// The version of the configuration in force there.
+    /// The configuration version in force on the peer.
     pub config_version: ConfigVersion,
-    /// The store's revision up to which it knows the upstreams' entries.
+    /// The store revision up to which the peer has the upstream entries.
     pub upstreams_revision: Revision,
-    /// The heartbeat itself.
+    /// Incarnation and sequence number of the last message.
     last: Echo,
 }
 
-/// Peers, by VM name.
+/// Peers, keyed by VM name.
+///
+/// A peer is live from its first heartbeat until [`PeerTable::forget_silent`] removes it.
 #[derive(Debug)]
 pub struct PeerTable {
     own: String,
@@ -49,23 +53,24 @@
     sent: RefCell<SentTimes>,
     listed: RefCell<HashMap<String, Listed>>,
     heard: RefCell<HashMap<String, Heard>>,
-    /// The peer of the own failure domain that was the last to say that it watches.
+    /// The peer in the local failure domain that most recently announced that it watches
+    /// the store.
     watcher: RefCell<Option<String>>,
-    /// Since when the VMs that the store lists are known.
+    /// When the VMs listed in the store were first all known.
     listed_at: Cell<Option<Time>>,
-    /// Whether peers no longer remember what this VM has missed.
+    /// Whether peers no longer retain the updates that this VM has missed.
     far_behind: Cell<bool>,
-    /// Someone knows more of the store than this VM.
+    /// Signalled when this VM learns that it is missing updates from the store.
     behind: Notify,
-    /// Where datagrams are sent from, once that is known.
+    /// The socket from which datagrams are sent, once set.
     socket: OnceCell<Rc<UdpSocket>>,
     /// Whether this VM watches the store.
     duty: Cell<Duty>,
-    /// Something has changed that the next heartbeats are to say at once.
+    /// Signalled when a change requires immediate heartbeats.
     announcement: Notify,
 }
 
-/// A VM that the store lists, or that was heard of.
+/// A VM listed in the store or known from a message.
 #[derive(Clone, Debug)]
 struct Listed {
     addr: SocketAddr,
@@ -73,7 +78,7 @@
 }
 
 impl PeerTable {
-    /// An empty table of the VM called `own`.
+    /// Creates an empty table for the VM named `own`.
     #[must_use]
     pub fn new(own: &str) -> Self {
         Self {
@@ -93,19 +98,19 @@
         }
     }
 
-    /// Datagrams are sent from this socket.
+    /// Sets the socket from which datagrams are sent. It can be set only once.
     pub(crate) fn set_socket(&self, socket: &Rc<UdpSocket>) {
         if self.socket.set(Rc::clone(socket)).is_err() {
-            log::error!("the socket of the peers was set before");
+            log::error!("peer socket is already set; ignoring the new one");
         }
     }
 
-    /// Where datagrams are sent from, once that is known.
+    /// The socket from which datagrams are sent, once set.
     pub(super) fn socket(&self) -> Option<Rc<UdpSocket>> {
         self.socket.get().cloned()
     }
 
-    /// A VM is listed.
+    /// Adds a VM, or replaces its address and failure domain.
     pub fn insert(&self, name: &str, addr: SocketAddr, failure_domain: &str) {
         let failure_domain = failure_domain.to_owned();
         let listed = Listed {
@@ -115,7 +120,8 @@
         self.listed.borrow_mut().insert(name.to_owned(), listed);
     }
 
-    /// The VMs that the store lists are all known.
+    /// Records that all VMs listed in the store are known, and requests immediate
+    /// heartbeats the first time.
     pub(crate) fn set_listed(&self, now: Time) {
         if self.listed_at.get().is_none() {
             self.listed_at.set(Some(now));
@@ -123,46 +129,46 @@
         }
     }
 
-    /// Since when the VMs that the store lists are known.
+    /// When the VMs listed in the store were first all known.
     pub(crate) fn listed_at(&self) -> Option<Time> {
         self.listed_at.get()
     }
 
-    /// How many VMs are listed, this one included once it is.
+    /// The number of listed VMs, including this one once it is listed.
     #[must_use]
     pub fn listed(&self) -> usize {
         self.listed.borrow().len()
     }
 
-    /// How many VMs of a failure domain are listed.
+    /// The number of listed VMs in a failure domain.
     #[must_use]
     pub fn listed_in(&self, failure_domain: &str) -> usize {
         let listed = self.listed.borrow();
-        let there = listed
+        let in_domain = listed
             .values()
             .filter(|l| l.failure_domain == failure_domain);
-        there.count()
+        in_domain.count()
     }
 
-    /// How many peers of a failure domain were heard of lately.
+    /// The number of live peers in a failure domain.
     #[must_use]
     pub fn heard_near(&self, failure_domain: &str) -> usize {
         self.count_heard(|_, h| h.failure_domain == failure_domain)
     }
 
-    /// The pause between two heartbeats of a VM.
+    /// The heartbeat interval of a VM.
     #[must_use]
     pub fn pause(&self) -> Duration {
         heartbeat_pause(self.listed())
     }
 
-    /// The pause between two heartbeats of a VM that watches the store.
+    /// The heartbeat interval of a VM that watches the store.
     #[must_use]
     pub fn watchers_pause(&self) -> Duration {
         watchers_pause(self.listed())
     }
 
-    /// The other VMs.
+    /// Names and addresses of all listed VMs except this one.
     #[must_use]
     pub fn others(&self) -> Vec<(String, SocketAddr)> {
         let listed = self.listed.borrow();
@@ -170,7 +176,7 @@
         others.map(|(name, l)| (name.clone(), l.addr)).collect()
     }
 
-    /// Whether a VM stands in a failure domain.
+    /// Whether a listed VM belongs to a failure domain.
     #[must_use]
     pub fn is_in(&self, name: &str, failure_domain: &str) -> bool {
         let listed = self.listed.borrow();
@@ -179,12 +185,14 @@
             .is_some_and(|l| l.failure_domain == failure_domain)
     }
 
-    /// What was heard of a peer lately.
+    /// The last state received from a peer, if it is live.
     pub(super) fn heard(&self, name: &str) -> Option<Heard> {
         self.heard.borrow().get(name).cloned()
     }
 
-    /// Changes whether this VM watches the store, and returns what that comes to.
+    /// Updates whether this VM watches the store and returns the closure's result.
+    /// Records an event when the watch is taken or given up; taking it also requests
+    /// immediate heartbeats.
     pub(super) fn duty<T>(&self, f: impl FnOnce(&mut Duty) -> T) -> T {
         let before = self.duty.get();
         let mut duty = before;
@@ -200,31 +208,30 @@
         outcome
     }
 
-    /// Something has changed that other VMs are to hear of at once, such as who watches
-    /// the store, or an evacuation.
+    /// Requests immediate heartbeats after a change that other VMs must learn without
+    /// delay, such as a new watcher of the store or an evacuation.
     pub fn announce(&self) {
         self.announcement.notify_one();
     }
 
-    /// Waits until heartbeats are due at once.
+    /// Waits until immediate heartbeats are requested.
     pub async fn announcement(&self) {
         self.announcement.notified().await;
     }
 
-    /// The peers heard of lately.
+    /// The names of all live peers.
     #[must_use]
     pub fn names_heard(&self) -> Vec<String> {
         self.heard.borrow().keys().cloned().collect()
     }
 
-    /// Whether a peer was heard of lately.
+    /// Whether a peer is live.
     #[must_use]
     pub fn has_heard(&self, name: &str) -> bool {
         self.heard.borrow().contains_key(name)
     }
 
-    /// The addresses of the peers heard of lately in the failure domains of which
-    /// something holds.
+    /// The addresses of the live peers in the failure domains that match `f`.
     #[must_use]
     pub fn heard_in(&self, f: impl Fn(&str) -> bool) -> Vec<SocketAddr> {
         let (heard, listed) = (self.heard.borrow(), self.listed.borrow());
@@ -234,14 +241,16 @@
             .collect()
     }
 
-    /// Whether a VM that was heard of lately takes requests.
+    /// Whether any peer heard from within `RECENT_MESSAGE_WINDOW` accepts requests, that is,
+    /// is not draining.
     #[must_use]
     pub fn any_serves(&self, now: Time) -> bool {
-        let serves = |h: &Heard| !h.draining && now.saturating_sub(h.at) < SURELY_ALIVE;
+        let serves = |h: &Heard| !h.draining && now.saturating_sub(h.at) < RECENT_MESSAGE_WINDOW;
         self.heard.borrow().values().any(serves)
     }
 
-    /// Whether the store has answered a peer within `longest`, as far as was heard.
+    /// Whether the store has answered any peer within `longest`, according to the last
+    /// messages received.
     #[must_use]
     pub fn any_in_contact(&self, now: Time, longest: Duration) -> bool {
         let answered = |h: &Heard| {
@@ -251,8 +260,8 @@
         self.heard.borrow().values().any(answered)
     }
 
-    /// Whether the store has answered a peer of a failure domain within `longest`, as
-    /// far as was heard.
+    /// Whether the store has answered any peer in the failure domain `home` within
+    /// `longest`, according to the last messages received.
     #[must_use]
     pub fn any_near_in_contact(&self, home: &str, now: Time, longest: Duration) -> bool {
         let answered = |_: &str, h: &Heard| {
@@ -262,14 +271,14 @@
         self.count_heard(answered) > 0
     }
 
-    /// How many peers something holds of.
+    /// The number of peers that match `f`.
     pub(super) fn count_heard(&self, f: impl Fn(&str, &Heard) -> bool) -> usize {
         let heard = self.heard.borrow();
         heard.iter().filter(|(name, h)| f(name, h)).count()
     }
 
-    /// Draws a peer of which something holds, as far as was heard; one that is preferred,
-    /// if there is any.
+    /// Picks a random peer whose last known state matches `holds`, choosing among the
+    /// `preferred` ones if there are any.
     pub(crate) fn draw(
         &self,
         holds: impl Fn(&Heard) -> bool,
@@ -284,31 +293,32 @@
         drawn.map(|(_, addr)| *addr)
     }
 
-    /// Whether peers no longer remember what this VM has missed.
+    /// Whether peers no longer retain the updates that this VM has missed.
     pub(crate) fn is_far_behind(&self) -> bool {
         self.far_behind.get()
     }
 
-    /// A peer no longer remembers what this VM has missed, or it is made up for.
+    /// Sets whether this VM has missed updates that a peer no longer retains; cleared
+    /// once it has caught up.
     pub(crate) fn set_far_behind(&self, far_behind: bool) {
         self.far_behind.set(far_behind);
     }
 
-    /// Draws a peer that knows the upstreams' entries beyond a revision, of the failure
-    /// domain `home` if there is one.
+    /// Picks a random peer that has upstream entries newer than `known`, preferring the
+    /// failure domain `home`.
     pub(crate) fn draw_ahead(&self, home: &str, known: Revision) -> Option<SocketAddr> {
         let knows_more = |h: &Heard| h.upstreams_revision > known;
         self.draw(knows_more, |h| h.failure_domain == home)
     }
 
-    /// The newest version of the configuration that a peer has in force; 0 if no peer has one.
+    /// The newest configuration version in force on any peer; 0 if there is none.
     #[must_use]
     pub fn newest_config(&self) -> ConfigVersion {
         let heard = self.heard.borrow();
         heard.values().map(|h| h.config_version).max().unwrap_or(0)
     }
 
-    /// The newest revision up to which a peer knows the upstreams' entries.
+    /// The newest store revision up to which any peer has the upstream entries.
     #[must_use]
     pub fn newest_upstreams(&self) -> Revision {
         let heard = self.heard.borrow();
@@ -319,7 +329,7 @@
             .unwrap_or_default()
     }
 
-    /// Numbers the next heartbeat.
+    /// Assigns the next sequence number and records when it is sent.
     pub(super) fn next(&self, now: Time) -> Echo {
         let sequence = self.sequence.get() + 1;
         self.sequence.set(sequence);
@@ -330,13 +340,14 @@
         }
     }
 
-    /// The last heartbeat heard from a peer.
+    /// Incarnation and sequence number of the last message received from a peer.
     pub(super) fn echo(&self, name: &str) -> Option<Echo> {
         self.heard.borrow().get(name).map(|h| h.last)
     }
 
-    /// The time since which something holds that was `age` old when its sender had heard a
-    /// datagram of ours.
+    /// Lower bound on the local time of an event that was `age` old when its reporter had
+    /// received the datagram in `echo`. `None` if that datagram is from another
+    /// incarnation of this VM or its send time is not known.
     pub(super) fn at_least(&self, echo: Echo, age: Duration) -> Option<Time> {
         if echo.incarnation != self.incarnation {
             return None;
@@ -344,28 +355,29 @@
         self.sent.borrow().at_least(echo.sequence, age)
     }
 
-    /// A peer of the own failure domain said that it watches the store.
+    /// Records that a peer in the local failure domain announced that it watches the store.
     pub(super) fn set_watcher(&self, name: &str) {
         *self.watcher.borrow_mut() = Some(name.to_owned());
     }
 
-    /// Where the peer is that was the last to say that it watches.
+    /// The address of the peer that most recently announced that it watches the store.
     pub(super) fn watcher(&self) -> Option<SocketAddr> {
         let watcher = self.watcher.borrow();
         let listed = self.listed.borrow();
         listed.get(watcher.as_ref()?).map(|l| l.addr)
     }
 
-    /// Takes in a heartbeat. Returns whether it is newer than the last one of
-    /// its sender: datagrams may overtake each other; a restarted sender counts
-    /// anew. A peer of the own failure domain, `home`, is logged when it is first heard.
+    /// Processes a heartbeat. Returns whether it is newer than the last one from its
+    /// sender: datagrams may be reordered, and a restarted sender has a new incarnation
+    /// and restarts its sequence. The first heartbeat from a peer in the local failure
+    /// domain, `home`, is recorded as an event.
     pub(super) fn hear(&self, now: Time, heartbeat: &Heartbeat, home: &str) -> bool {
         let digest = &heartbeat.digest;
         let mut heard = self.heard.borrow_mut();
         match heard.get(&digest.name) {
             Some(known) => {
-                let same_life = known.last.incarnation == digest.incarnation;
-                if same_life && known.last.sequence >= digest.sequence {
+                let same_incarnation = known.last.incarnation == digest.incarnation;
+                if same_incarnation && known.last.sequence >= digest.sequence {
                     return false;
                 }
             }
@@ -392,16 +404,16 @@
         true
     }
 
-    /// Takes in a change of a peer's load. Returns where the peer stands, if it is known
-    /// and has said nothing newer.
+    /// Processes a load update from a peer. Returns the peer's failure domain if the peer
+    /// is known and has sent nothing newer.
     pub(super) fn hear_load(&self, now: Time, load: &Load) -> Option<FailureDomain> {
         let mut heard = self.heard.borrow_mut();
         let known = heard.get_mut(&load.name)?;
-        let same_life = known.last.incarnation == load.number.incarnation;
-        if !same_life || known.last.sequence >= load.number.sequence {
+        let same_incarnation = known.last.incarnation == load.number.incarnation;
+        if !same_incarnation || known.last.sequence >= load.number.sequence {
             return None;
         }
-        // The heartbeat's word on the store is as old as before.
+        // A load update carries no store age: advance the stored one as `at` moves to now.
         let since = now.saturating_sub(known.at);
         known.store_age = known.store_age.map(|age| age + since);
         known.at = now;
@@ -409,35 +421,39 @@
         Some(known.failure_domain.clone())
     }
 
-    /// Forgets peers that have been silent for too long. One of the own failure domain,
-    /// `home`, is lost then; others are heard when a draw falls on this VM, so that
-    /// their silence says nothing.
+    /// Removes peers whose last message is too old. A peer in the local failure domain,
+    /// `home`, is then reported as lost. A heartbeat from another domain arrives only when
+    /// its sender picks this VM at random, so its absence does not indicate a failure.
     pub fn forget_silent(&self, now: Time, home: &str) {
         let near = self.heard_near(home);
-        let missed = longest_silence(self.listed(), near);
+        let domain_timeout = longest_silence(self.listed(), near);
         let mut heard = self.heard.borrow_mut();
         heard.retain(|name, last| {
             let age = now.saturating_sub(last.at);
             let near = last.failure_domain == home;
-            let longest = if near { missed.max(SILENCE) } else { SILENCE };
-            let keeps = age < longest;
-            if !keeps && near {
+            let timeout = if near {
+                domain_timeout.max(MIN_PEER_TIMEOUT)
+            } else {
+                MIN_PEER_TIMEOUT
+            };
+            let keep = age < timeout;
+            if !keep && near {
                 record!(
                     events::PEER_LOST,
                     peer = name.as_str(),
                     age_ms = age.as_millis() as u64,
                 );
             }
-            keeps
+            keep
         });
     }
 
-    /// Someone knows more of the store than this VM.
+    /// Signals that this VM is missing updates from the store.
     pub fn set_behind(&self) {
         self.behind.notify_waiters();
     }
 
-    /// Waits until someone knows more of the store than this VM.
+    /// Waits until this VM learns that it is missing updates from the store.
     pub async fn behind(&self) {
         self.behind.notified().await;
     }
