--- a/trouttrack_front/src/peers/message.rs
+++ b/trouttrack_front/src/peers/message.rs
@@ -1,9 +1,9 @@
-//! Datagrams, and their form on the wire.
+//! Datagram types exchanged between VMs, and their wire encoding.
 //!
-//! They are encoded by `postcard`: a VM at 300 tells 48 others of each generation that
-//! it hands over, and a datagram of JSON spells out every field. The first
-//! byte names the form, so that VMs of two versions of this program leave out what they
-//! cannot read.
+//! Datagrams are encoded with `postcard`: in a fleet of 300 VMs, each VM reports every
+//! generation that it dispatches to 48 others, and JSON would spell out every field name.
+//! The first byte is the format version, so that VMs running different versions of this
+//! program ignore datagrams that they cannot decode.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -13,112 +13,112 @@
 use trouttrack_core::{ConfigVersion, UpstreamId};
 use trouttrack_platform::UpstreamEntry;
 
-/// The form of the datagrams, which changes with any of the types below.
-const FORM: u8 = 6;
+/// Wire format version. Must change whenever any of the types below changes.
+const FORMAT_VERSION: u8 = 6;
 
-/// What a VM sends.
+/// A message between two VMs.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Datagram {
     /// The sender's state.
     Heartbeat(Box<Heartbeat>),
-    /// The sender's use of upstreams, which has just changed.
+    /// The sender's use of upstreams, sent after a change.
     Load(Load),
-    /// Changes in the store, and who else is to hear of them from the receiver.
+    /// Changes in the store, and the addresses to which the receiver must forward them.
     News(News, Vec<SocketAddr>),
-    /// The receiver knows of changes after this revision, and is asked for them.
+    /// Requests the changes after this revision from the receiver.
     NewsWanted(Revision),
-    /// The sender knows more than the receiver and does not remember what changed: all
-    /// upstreams may be fetched.
+    /// The sender has a later revision than the receiver but no longer keeps the changes
+    /// in between; the receiver may fetch all upstreams instead.
     NewsForgotten,
-    /// The receiver has a newer configuration, and is asked for it.
+    /// Requests the receiver's configuration, which is newer than the sender's.
     ConfigWanted,
-    /// The configuration that the sender has in force.
+    /// The sender's active configuration.
     Config(ToldConfig),
-    /// The sender has a configuration of this version in force that is too large for a
-    /// datagram; it may be fetched.
+    /// The sender's active configuration has this version and is too large for a
+    /// datagram; the receiver may fetch it.
     ConfigReady(ConfigVersion),
-    /// Requests under which upstreams ended.
+    /// Requests during which upstreams terminated.
     Suspects(Vec<Suspect>),
-    /// The receiver is asked how long ago its configuration was confirmed. Numbered with
-    /// the sender's heartbeats.
+    /// Asks the receiver how long ago its configuration was confirmed. Shares its sequence
+    /// numbers with the sender's heartbeats.
     ConfirmationWanted(Echo),
-    /// The answer.
+    /// The reply to `ConfirmationWanted`.
     Confirmation(Confirmation),
 }
 
-/// A sender's state.
+/// The sender's state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Heartbeat {
-    /// Its name, address, use of upstreams.
+    /// The sender's name, address and use of upstreams.
     pub(super) digest: Digest,
-    /// The last datagram that it has heard from the receiver.
+    /// The last numbered datagram that the sender received from the receiver.
     pub(super) echo: Option<Echo>,
-    /// Whether it watches the store for its failure domain.
+    /// Whether the sender watches the store for its failure domain.
     pub(super) watches: bool,
-    /// How long ago the configuration in force there was confirmed, in milliseconds.
+    /// Time since the sender's active configuration was confirmed, in milliseconds.
     pub(super) confirmed_ms: Option<u64>,
-    /// The store's revision up to which it knows the upstreams' entries.
+    /// Store revision up to which the sender knows the upstreams' entries.
     pub(super) upstreams_revision: Revision,
-    /// The failure domains that are evacuated, as far as it knows.
+    /// Evacuated failure domains known to the sender.
     pub(super) evacuations: Evacuations,
-    /// How long ago the store last answered it, in milliseconds.
+    /// Time since the store last answered the sender, in milliseconds.
     pub(super) store_ms: Option<u64>,
-    /// The use that all VMs of its failure domain make of the upstreams there, told to
-    /// other failure domains of a large fleet.
+    /// Aggregate use of the upstreams in the sender's failure domain by all VMs of that
+    /// domain. Sent in large fleets for the benefit of other failure domains.
     pub(super) domain_uses: Vec<UpstreamUse>,
-    /// A sum over the requests that are held there.
+    /// Checksum of the requests that the sender holds in quarantine.
     pub(super) suspects: u64,
-    /// The limits that upstreams have named, as far as it knows.
+    /// Limits announced by upstreams that are known to the sender.
     pub(super) limits: Vec<ToldLimit>,
 }
 
 /// How long ago a VM's configuration was confirmed.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(super) struct Confirmation {
-    /// The question.
+    /// The `ConfirmationWanted` datagram that this replies to.
     pub(super) echo: Echo,
-    /// The version of the configuration in force there.
+    /// Version of the replying VM's active configuration.
     pub(super) config_version: ConfigVersion,
-    /// How long ago that configuration was confirmed, in milliseconds.
+    /// Time since that configuration was confirmed, in milliseconds.
     pub(super) age_ms: u64,
 }
 
-/// A sender's use of upstreams: what of its state changes most often.
+/// The sender's use of upstreams, the part of its state that changes most often.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Load {
-    /// Its name.
+    /// The sender's name.
     pub(super) name: String,
-    /// This datagram; heartbeats and these are numbered together.
+    /// Identifies this datagram. Shares its sequence numbers with heartbeats.
     pub(super) number: Echo,
-    /// Its use of upstreams.
+    /// The sender's use of upstreams.
     pub(super) uses: Vec<UpstreamUse>,
-    /// The limits that upstreams have named lately, as far as it knows.
+    /// Limits recently announced by upstreams that are known to the sender.
     pub(super) limits: Vec<ToldLimit>,
 }
 
-/// Names a numbered datagram.
+/// Identifies a numbered datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Echo {
-    /// The life of the process that sent it.
+    /// Incarnation of the process that sent it.
     pub(super) incarnation: u64,
-    /// Its number.
+    /// Sequence number within the incarnation.
     pub(super) sequence: u64,
 }
 
 /// Changes of upstreams' entries between two revisions of the store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct News {
-    /// Everything up to this revision is known already.
+    /// Revision that the receiver must already have reached.
     pub from: Revision,
-    /// Everything up to this revision is known with the changes.
+    /// Revision that the receiver reaches by applying the changes.
     pub to: Revision,
     /// The changes, in order.
     pub changes: Vec<EntryChange>,
 }
 
 impl News {
-    /// The same in parts of at most so many changes, each of which may be taken in by
-    /// itself. A part is larger where changes did not come in the order of their revisions.
+    /// Splits the changes into parts of at most `most` changes that can each be applied
+    /// independently. A part is larger if its changes are not in revision order.
     ///
     /// # Examples
     ///
@@ -165,7 +165,7 @@
     }
 }
 
-/// For each change the oldest revision among those after it; `None` after the last.
+/// For each change, the oldest revision among the changes after it; `None` for the last.
 fn oldest_after(changes: &[EntryChange]) -> Vec<Option<Revision>> {
     let mut oldest = None;
     let backwards = changes.iter().rev().map(|change| {
@@ -178,49 +178,49 @@
     found
 }
 
-/// A change of one entry.
+/// A change to one upstream's entry.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EntryChange {
     /// The upstream.
     pub id: UpstreamId,
     /// The store's revision of the change.
     pub revision: Revision,
-    /// What became of the entry.
+    /// State of the entry after the change.
     pub entry: EntryState,
 }
 
-/// What became of an entry.
+/// State of an entry after a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryState {
-    /// It says this.
+    /// The entry exists with this content.
     Listed(UpstreamEntry),
-    /// It is gone.
+    /// The entry has been removed.
     Gone,
-    /// It cannot be read, so nobody vouches for the upstream.
+    /// The entry cannot be parsed, so the upstream cannot be trusted.
     Unreadable,
 }
 
-/// A configuration as the store has it.
+/// A configuration as stored.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct ToldConfig {
-    /// The store's revision.
+    /// Store revision of the configuration.
     pub(super) revision: Revision,
-    /// What it says.
+    /// The configuration text.
     pub(super) spec: Box<str>,
 }
 
-/// A datagram as it is sent.
+/// Encodes a datagram; `None` if encoding fails, which is logged.
 pub(super) fn encode(datagram: &Datagram) -> Option<Vec<u8>> {
-    postcard::to_extend(datagram, vec![FORM])
-        .inspect_err(|e| log::error!("a datagram cannot be encoded: {e}"))
+    postcard::to_extend(datagram, vec![FORMAT_VERSION])
+        .inspect_err(|e| log::error!("failed to encode datagram: {e}"))
         .ok()
 }
 
-/// A datagram that came; `None` if it cannot be read.
+/// Decodes a datagram; `None` if it has another format version or is malformed.
 pub(super) fn decode(bytes: &[u8]) -> Option<Datagram> {
-    let (form, rest) = bytes.split_first()?;
-    if *form != FORM {
+    let (version, payload) = bytes.split_first()?;
+    if *version != FORMAT_VERSION {
         return None;
     }
-    postcard::from_bytes(rest).ok()
+    postcard::from_bytes(payload).ok()
 }
