--- a/trouttrack_front/src/peers/heartbeat.rs
+++ b/trouttrack_front/src/peers/heartbeat.rs
@@ -1,11 +1,11 @@
-//! Sending heartbeats, and the own use of upstreams as it changes.
+//! Sends heartbeats, and load updates when this VM's use of upstreams changes.
 //!
-//! Two datagrams tell of load. A heartbeat says all that a VM knows of itself, at a
-//! pause and to some peers that grow no faster than the fleet's budget for control. The
-//! own use of upstreams changes with each generation that is handed over, and matters
-//! within the fifth of a second that a prompt takes to load; so does each request to an
-//! upstream whose rate the VMs share. It is told at once to all VMs that choose among the
-//! same upstreams.
+//! Two kinds of datagram report load. A heartbeat carries the VM's whole state; its
+//! interval and number of receivers are limited so that control traffic stays within the
+//! fleet's budget. The VM's use of upstreams changes with each generation that it
+//! dispatches, and with each request to an upstream whose rate limit the VMs share. Other
+//! VMs need such a change within the 200 ms that loading a prompt takes, so a load update
+//! goes out at once to all VMs that select among the same upstreams.
 
 use super::message::{Datagram, Heartbeat, Load};
 use super::post::{post, post_to_all};
@@ -24,35 +24,35 @@
 };
 use trouttrack_core::upstream::{RateShare, ToldLimit};
 
-/// Pause after a placement or a loss before it is told, for until then others choose
-/// the same upstream; several are told together.
-const SOON: Duration = Duration::from_millis(3);
+/// Delay between a placement or a loss and its load update, so that several share one
+/// datagram. Kept short because other VMs may select the same upstream until they hear of it.
+const LOAD_UPDATE_DELAY: Duration = Duration::from_millis(3);
 
-/// For how long a VM that has started tells its whole failure domain of itself. Drawn as
-/// later, it would be known to all of 164 peers after half a minute, and each would take
-/// itself for the one that is to watch.
-const JUST_STARTED: Duration = Duration::from_secs(4);
+/// Period after start during which a VM sends heartbeats to its whole failure domain. With
+/// random receivers only, 164 peers would take half a minute to learn of it, and each
+/// would consider itself the one that must watch the store.
+const STARTUP_BROADCAST: Duration = Duration::from_secs(4);
 
-/// Sends heartbeats and changes of load for as long as the process runs.
+/// Sends heartbeats and load updates for as long as the process runs.
 pub(crate) async fn send(front: Rc<Front>, socket: Rc<UdpSocket>) {
-    let mut next = Instant::now();
-    let mut tell_at: Option<Instant> = None;
+    let mut heartbeat_at = Instant::now();
+    let mut update_at: Option<Instant> = None;
     loop {
         tokio::select! {
-            () = tokio::time::sleep_until(next) => {
+            () = tokio::time::sleep_until(heartbeat_at) => {
                 send_heartbeats(&front, &socket);
-                next = Instant::now() + pause(&front);
+                heartbeat_at = Instant::now() + heartbeat_interval(&front);
             }
             () = front.peers.announcement() => {
                 send_heartbeats(&front, &socket);
-                next = Instant::now() + pause(&front);
+                heartbeat_at = Instant::now() + heartbeat_interval(&front);
             }
             () = front.suspects.news() => suspects::send_changes(&front, &socket),
-            () = front.scheduler.news(), if tell_at.is_none() => {
-                tell_at = Some(Instant::now() + SOON);
+            () = front.scheduler.news(), if update_at.is_none() => {
+                update_at = Some(Instant::now() + LOAD_UPDATE_DELAY);
             }
-            () = tokio::time::sleep_until(tell_at.unwrap_or(next)), if tell_at.is_some() => {
-                tell_at = None;
+            () = tokio::time::sleep_until(update_at.unwrap_or(heartbeat_at)), if update_at.is_some() => {
+                update_at = None;
                 if front.serving.tell_changes {
                     send_load(&front, &socket);
                 }
@@ -61,8 +61,9 @@
     }
 }
 
-/// The pause until the next heartbeats. Those of a VM that watches the store are waited for.
-fn pause(front: &Front) -> Duration {
+/// Interval until the next heartbeats. Peers rely on those of a VM that watches the store,
+/// so it has an interval of its own.
+fn heartbeat_interval(front: &Front) -> Duration {
     match watches_store(front) {
         true => front.peers.watchers_pause(),
         false => front.peers.pause(),
@@ -93,7 +94,7 @@
     }
 }
 
-/// What this VM may use of a bounded rate, by the VMs that it hears now.
+/// This VM's share of a rate limit, from the number of VMs that it currently hears.
 fn rate_share(front: &Front) -> RateShare {
     let home = &front.failure_domain;
     let own = 1;
@@ -101,31 +102,31 @@
     RateShare::of(heard, front.peers.listed_in(home), front.peers.listed())
 }
 
-/// Answers a VM that has just been heard of for the first time, so that it need not
-/// wait for its turn among the peers told.
+/// Sends a heartbeat to a newly discovered VM, which would otherwise wait until it is
+/// drawn as a receiver.
 pub(super) fn greet(front: &Front, socket: &UdpSocket, name: &str, addr: SocketAddr) {
     let mut heartbeat = heartbeat(front);
     heartbeat.echo = front.peers.echo(name);
     post(socket, &Datagram::Heartbeat(Box::new(heartbeat)), addr);
 }
 
-/// Tells the own use of upstreams to all VMs that choose among the same ones: those of
-/// the own failure domain, and those where the upstreams that are used stand.
+/// Sends this VM's use of upstreams to all VMs that select among the same ones: those in
+/// its own failure domain, and those in the failure domains of the upstreams in use.
 ///
-/// Without the latter a VM heard of a request from elsewhere after two seconds in the
-/// mean, by heartbeats, and more prompt tokens before a request were unknown than known
-/// (1,280 of 2,765 in the mean were from elsewhere). On 20 days of a fleet of 64 VMs
-/// before 72 engines, 3,549 of 50,772 short requests were late with it and 4,627 of
-/// 50,883 without.
+/// Without the latter, a VM learned of requests from other failure domains by heartbeats,
+/// after two seconds on average, and more of the prompt tokens ahead of a request
+/// were unknown than known (1,280 of 2,765 on average were from other failure domains).
+/// Over 20 days of a fleet of 64 VMs and 72 engines, 3,549 of 50,772 short requests were
+/// late with it and 4,627 of 50,883 without.
 fn send_load(front: &Front, socket: &UdpSocket) {
-    let everyone = !is_large(front);
+    let to_all = !is_large(front);
     let uses = front.scheduler.own_uses();
     let limits = front.scheduler.limits(Some(CHANGED_LIMIT_TOLD));
     let domains = domains_of(front, &uses, &limits);
-    let concerned = |domain: &str| {
-        everyone || domain == front.failure_domain || domains.iter().any(|d| d == domain)
+    let selects_same_upstreams = |domain: &str| {
+        to_all || domain == front.failure_domain || domains.iter().any(|d| d == domain)
     };
-    let receivers = front.peers.heard_in(concerned);
+    let receivers = front.peers.heard_in(selects_same_upstreams);
     if receivers.is_empty() {
         return;
     }
@@ -138,7 +139,7 @@
     post_to_all(socket, &Datagram::Load(load), receivers);
 }
 
-/// Where the upstreams stand that are used, or whose limits have changed.
+/// Failure domains of the upstreams that are in use or whose limits have changed.
 fn domains_of(front: &Front, uses: &[UpstreamUse], limits: &[ToldLimit]) -> Vec<FailureDomain> {
     let used = uses.iter().map(|u| &u.upstream);
     let named = used.chain(limits.iter().map(|limit| &limit.life.id));
@@ -157,15 +158,15 @@
     let (near, far): (Vec<_>, Vec<_>) = others
         .into_iter()
         .partition(|(name, _)| front.peers.is_in(name, own_domain));
-    // All who leave the watch to this VM must hear that it watches, and all who would take
-    // it after this VM that it has started.
-    let just_started = front.clock.now() < JUST_STARTED;
-    let told = if just_started || watches_store(front) {
+    // Every peer that defers to this VM must hear that it watches the store, and every peer
+    // that ranks after it must hear that it has started.
+    let starting = front.clock.now() < STARTUP_BROADCAST;
+    let near_count = if starting || watches_store(front) {
         near.len()
     } else {
         NEAR_TOLD
     };
-    let near = near.into_iter().take(told);
+    let near = near.into_iter().take(near_count);
     near.chain(far.into_iter().take(FAR_TOLD)).collect()
 }
 
