--- a/trouttrack_front/src/peers/roles.rs
+++ b/trouttrack_front/src/peers/roles.rs
@@ -1,4 +1,4 @@
-//! Which VMs watch the store.
+//! Decides which VMs watch the store.
 
 use super::table::Heard;
 use crate::state::Front;
@@ -6,23 +6,23 @@
 use trouttrack_core::Time;
 use trouttrack_core::membership::{Contact, Standing};
 
-/// A VM that the store has answered this recently can watch it. A watch that
-/// nothing happens on is answered somewhat sooner.
-const IN_CONTACT: Duration = Duration::from_millis(6500);
-/// After its start a VM knows no peers, and each would take itself for the only one. Once
-/// it has the list of them it takes so long to be heard by them and to hear them.
-const HEARS_OTHERS: Duration = Duration::from_millis(700);
-/// How long the list of them is waited for.
-const LISTS_OTHERS: Duration = Duration::from_secs(5);
+/// Maximum time since the store's last answer for a VM to count as in contact with it.
+/// Somewhat longer than the store takes to answer a watch without changes.
+const CONTACT_TIMEOUT: Duration = Duration::from_millis(6500);
+/// Time that a VM and its peers take to hear each other once it has the list of peers. A
+/// VM that has just started knows no peers and would consider itself the only one.
+const PEER_DISCOVERY: Duration = Duration::from_millis(700);
+/// Maximum time after start to wait for the list of peers.
+const PEER_LIST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Whether this VM is to watch the store: nobody of its failure domain that comes
-/// before it, by contact with the store and then by name, says that it does. While the
-/// store is away from all, one of them keeps looking.
+/// Whether this VM must watch the store, which is the case if no VM in its failure domain
+/// that ranks before it, by contact with the store and then by name, claims to. If the
+/// store is unreachable for all of them, one VM keeps trying.
 #[must_use]
 pub fn watches_store(front: &Front) -> bool {
     let now = front.clock.now();
-    if !knows_others(front, now) {
-        // Its turn is counted from when it does.
+    if !has_discovered_peers(front, now) {
+        // The wait before taking over starts when discovery is complete.
         front.peers.duty(|duty| duty.claimed(now));
         return false;
     }
@@ -31,26 +31,31 @@
         return false;
     }
     let own = own_standing(front);
-    let before = |name: &str, peer: &Heard| may_watch(front, peer) && standing(name, peer) > own;
-    let before = front.peers.count_heard(before);
+    let ranks_before =
+        |name: &str, peer: &Heard| may_watch(front, peer) && standing(name, peer) > own;
+    let before = front.peers.count_heard(ranks_before);
     let pause = front.peers.watchers_pause();
     front.peers.duty(|duty| duty.decide(now, before, pause))
 }
 
-/// Whether this VM has had time to hear of the others.
-fn knows_others(front: &Front, now: Time) -> bool {
+/// Whether this VM has had time to discover its peers.
+fn has_discovered_peers(front: &Front, now: Time) -> bool {
     let listed_at = front.peers.listed_at();
-    listed_at.is_some_and(|at| now >= at + HEARS_OTHERS) || now >= LISTS_OTHERS
+    listed_at.is_some_and(|at| now >= at + PEER_DISCOVERY) || now >= PEER_LIST_TIMEOUT
 }
 
-/// A peer said that it watches: this VM leaves it the watch if it comes first.
+/// Records a peer's claim to watch the store. This VM defers to it if the peer ranks first.
 pub(super) fn hear_claim(front: &Front, name: &str) {
     if front.peers.is_in(name, &front.failure_domain) {
         front.peers.set_watcher(name);
     }
-    let claimed =
+    let ranks_first =
         |peer: &Heard| may_watch(front, peer) && standing(name, peer) > own_standing(front);
-    if front.peers.heard(name).is_some_and(|peer| claimed(&peer)) {
+    if front
+        .peers
+        .heard(name)
+        .is_some_and(|peer| ranks_first(&peer))
+    {
         let now = front.clock.now();
         front.peers.duty(|duty| duty.claimed(now));
     }
@@ -58,14 +63,14 @@
 
 fn own_standing(front: &Front) -> Standing {
     let age = front.store_contact.age(front.clock.now());
-    Standing::new(&front.name, Contact::of(age, IN_CONTACT))
+    Standing::new(&front.name, Contact::of(age, CONTACT_TIMEOUT))
 }
 
 fn standing(name: &str, peer: &Heard) -> Standing {
-    Standing::new(name, Contact::of(peer.store_age, IN_CONTACT))
+    Standing::new(name, Contact::of(peer.store_age, CONTACT_TIMEOUT))
 }
 
-/// Whether a peer stands in the own failure domain, and stays.
+/// Whether a peer is in this VM's failure domain and is not draining.
 fn may_watch(front: &Front, peer: &Heard) -> bool {
     peer.failure_domain == front.failure_domain && !peer.draining
 }
