--- a/trouttrack_front/src/peers/heartbeat.rs
+++ b/trouttrack_front/src/peers/heartbeat.rs
@@ -38,6 +38,7 @@
     let mut heartbeat_at = Instant::now();
     let mut update_at: Option<Instant> = None;
     loop {
+        let wake_at = update_at.unwrap_or(heartbeat_at);
         tokio::select! {
             () = tokio::time::sleep_until(heartbeat_at) => {
                 send_heartbeats(&front, &socket);
@@ -51,7 +52,7 @@
             () = front.scheduler.news(), if update_at.is_none() => {
                 update_at = Some(Instant::now() + LOAD_UPDATE_DELAY);
             }
-            () = tokio::time::sleep_until(update_at.unwrap_or(heartbeat_at)), if update_at.is_some() => {
+            () = tokio::time::sleep_until(wake_at), if update_at.is_some() => {
                 update_at = None;
                 if front.serving.tell_changes {
                     send_load(&front, &socket);
