--- a/trouttrack_front/src/peers/listen.rs
+++ b/trouttrack_front/src/peers/listen.rs
@@ -1,10 +1,10 @@
-//! Hearing peers.
+//! Receives datagrams from peers and dispatches them.
 
 use super::config::{self, ConfigExchange};
 use super::confirm;
 use super::heartbeat::greet;
 use super::message::{Datagram, Heartbeat, Load, decode};
-use super::news::{hear_news, tell_again};
+use super::news::{handle_news, retransmit};
 use super::roles::hear_claim;
 use super::suspects::{self, CatchUp};
 use crate::follow::{self, Told};
@@ -14,22 +14,22 @@
 use tokio::net::UdpSocket;
 use trouttrack_core::membership::Revision;
 
-/// The largest datagram taken.
-const MOST_BYTES: usize = 60_000;
+/// Receive buffer size; longer datagrams are truncated.
+const MAX_DATAGRAM_BYTES: usize = 60_000;
 
-/// Hears peers for as long as the process runs.
+/// Receives and handles peer datagrams for as long as the process runs.
 ///
 /// # Errors
 ///
-/// The socket fails.
+/// Returns an error if receiving from the socket fails.
 pub(crate) async fn listen(front: Rc<Front>, socket: Rc<UdpSocket>) -> io::Result<()> {
-    let mut buf = vec![0; MOST_BYTES];
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     let configs = ConfigExchange::default();
     let catch_up = CatchUp::default();
     loop {
         let (length, from) = match socket.recv_from(&mut buf).await {
             Ok(received) => received,
-            // What an earlier datagram met on its way: nobody listens there.
+            // ICMP reply to an earlier send: no process listens on that port.
             Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => continue,
             Err(e) => return Err(e),
         };
@@ -37,9 +37,10 @@
             Some(Datagram::Heartbeat(heartbeat)) => {
                 let name = &heartbeat.digest.name;
                 let is_new = !front.peers.has_heard(name);
-                hear(&front, &heartbeat);
+                handle_heartbeat(&front, &heartbeat);
                 catch_up.tell(&front, &socket, &heartbeat, from);
-                // Those of other failure domains are heard too rarely to be kept.
+                // Peers of other failure domains send too rarely to stay in the table, so they
+                // would be greeted repeatedly.
                 if is_new && front.peers.is_in(name, &front.failure_domain) {
                     greet(&front, &socket, name, from);
                 }
@@ -47,7 +48,7 @@
                     configs.ask(&front, &socket, from);
                 }
             }
-            Some(Datagram::Load(load)) => hear_load(&front, &load),
+            Some(Datagram::Load(load)) => handle_load(&front, &load),
             Some(Datagram::Suspects(told)) => suspects::hear(&front, &socket, &told, from),
             Some(Datagram::ConfigWanted) => configs.answer(&front, &socket, from),
             Some(Datagram::Config(told)) => config::take(&front, &told),
@@ -56,17 +57,17 @@
                 confirm::answer(&front, &socket, from, echo);
             }
             Some(Datagram::Confirmation(told)) => confirm::take(&front, &told),
-            Some(Datagram::NewsWanted(after)) => tell_again(&front, &socket, from, after),
+            Some(Datagram::NewsWanted(after)) => retransmit(&front, &socket, from, after),
             Some(Datagram::NewsForgotten) => front.peers.set_far_behind(true),
             Some(Datagram::News(news, pass_on)) => {
-                hear_news(&front, &socket, from, news, &pass_on);
+                handle_news(&front, &socket, from, news, &pass_on);
             }
-            None => log::debug!("a datagram from {from} cannot be read"),
+            None => log::debug!("failed to decode a datagram of {length} bytes from {from}"),
         }
     }
 }
 
-fn hear(front: &Rc<Front>, heartbeat: &Heartbeat) {
+fn handle_heartbeat(front: &Rc<Front>, heartbeat: &Heartbeat) {
     let digest = &heartbeat.digest;
     let now = front.clock.now();
     if digest.name == front.name || !front.peers.hear(now, heartbeat, &front.failure_domain) {
@@ -79,7 +80,11 @@
                 .insert(&digest.name, addr, &digest.failure_domain);
             front.divide();
         }
-        Err(e) => log::debug!("{}: address `{}`: {e}", digest.name, digest.rpc_addr),
+        Err(e) => log::debug!(
+            "invalid RPC address from peer {}: `{}`: {e}",
+            digest.name,
+            digest.rpc_addr
+        ),
     }
     let (name, domain) = (&digest.name, &digest.failure_domain);
     front.scheduler.peer_uses(name, domain, &digest.uses);
@@ -88,7 +93,7 @@
             .scheduler
             .domain_uses_told(domain, &heartbeat.domain_uses);
     }
-    // A peer that has not listed the upstreams yet reports the default revision.
+    // A peer that has not yet listed the upstreams reports the default revision.
     if heartbeat.upstreams_revision > Revision::default() {
         front.note_store_epoch(heartbeat.upstreams_revision.epoch);
     }
@@ -105,9 +110,9 @@
     }
 }
 
-/// A peer's use of upstreams has changed. One whose heartbeat was not heard yet says
-/// too little of itself.
-fn hear_load(front: &Front, load: &Load) {
+/// Updates a peer's upstream usage. Usage from a peer without a prior heartbeat is ignored,
+/// since its failure domain is unknown, as is usage older than what was last received.
+fn handle_load(front: &Front, load: &Load) {
     follow::heard_from_peer(front, &load.name, &load.limits);
     if let Some(domain) = front.peers.hear_load(front.clock.now(), load) {
         front.scheduler.peer_uses(&load.name, &domain, &load.uses);
--- a/trouttrack_front/src/peers/news.rs
+++ b/trouttrack_front/src/peers/news.rs
@@ -1,10 +1,11 @@
-//! News of upstreams' entries: telling them, passing them on, and telling them again.
+//! Dissemination of upstream entry updates: sending, relaying and retransmission.
 //!
-//! The VM that watches the store tells some VMs of its failure domain, and each of these
-//! passes the news on to some more: what a VM sends grows with the root of a failure
-//! domain. To all of 164 it would take a link of 20 Mbit/s 0.4 s for a hundred changes, and
-//! a release makes as many a second. Whoever is left out notices by the next heartbeat of
-//! its watcher, and asks.
+//! The VM that watches the store sends updates to some VMs of its failure domain, and each
+//! of these relays them to some more, so the traffic sent per VM grows with the square root
+//! of the size of the failure domain. Sending 100 changes directly to all of 164 VMs would
+//! take 0.4 s on a 20 Mbit/s link, and a release makes as many changes per second. A VM that
+//! misses an update detects it from the next heartbeat of its watcher and requests
+//! retransmission.
 
 use super::message::{Datagram, News, encode};
 use super::post::{post, post_to_all};
@@ -18,35 +19,35 @@
     CHANGES_IN_DATAGRAM, NEWS_ANSWERS, Revision, news_receivers, relays,
 };
 
-/// Sends news to those who are to hear them, for as long as the process runs.
+/// Sends queued updates to their receivers until the channel closes.
 ///
-/// News wait for room in the socket: one that is lost costs its receiver a question, and a
-/// generation the time to be moved.
+/// Sending waits for space in the socket buffer: a lost update costs its receiver a
+/// retransmission request, and a generation may then run out of time to be moved.
 pub(crate) async fn tell(front: Rc<Front>, socket: Rc<UdpSocket>, mut news: mpsc::Receiver<News>) {
     while let Some(news) = news.recv().await {
         for part in news.in_parts(CHANGES_IN_DATAGRAM) {
-            tell_part(&front, &socket, part).await;
+            send_part(&front, &socket, part).await;
         }
     }
 }
 
-async fn tell_part(front: &Front, socket: &UdpSocket, news: News) {
-    let near = |(name, _): &(String, _)| front.peers.is_in(name, &front.failure_domain);
-    let receivers = news_receivers(front.peers.others(), near, &mut rand::rng());
+async fn send_part(front: &Front, socket: &UdpSocket, news: News) {
+    let in_domain = |(name, _): &(String, _)| front.peers.is_in(name, &front.failure_domain);
+    let receivers = news_receivers(front.peers.others(), in_domain, &mut rand::rng());
     let receivers = receivers.into_iter().map(|(_, addr)| addr).collect();
     for (relay, pass_on) in relays(receivers) {
         let Some(bytes) = encode(&Datagram::News(news.clone(), pass_on)) else {
             return;
         };
         if let Err(e) = socket.send_to(&bytes, relay).await {
-            log::warn!("news to {relay}: {e}");
+            log::warn!("failed to send upstream updates to relay {relay}: {e}");
         }
     }
 }
 
-/// Takes news in and passes them on. What is missing before them is asked of the VM that
-/// tells them.
-pub(super) fn hear_news(
+/// Applies an update and relays it to `pass_on`. If changes before it are missing, requests
+/// them from the sender.
+pub(super) fn handle_news(
     front: &Rc<Front>,
     socket: &UdpSocket,
     from: SocketAddr,
@@ -55,8 +56,8 @@
 ) {
     let taken = follow::take_news(front, &news);
     if !pass_on.is_empty() {
-        let told = Datagram::News(news, Vec::new());
-        post_to_all(socket, &told, pass_on.iter().copied());
+        let relayed = Datagram::News(news, Vec::new());
+        post_to_all(socket, &relayed, pass_on.iter().copied());
     }
     if taken == Taken::Missing {
         let known = front.upstreams.revision();
@@ -64,9 +65,9 @@
     }
 }
 
-/// Answers a VM that has missed what changed after a revision. One that is not
-/// answered asks another VM, or the store.
-pub(super) fn tell_again(front: &Front, socket: &UdpSocket, peer: SocketAddr, revision: Revision) {
+/// Retransmits the changes after `revision` to a peer that missed them. A peer that gets no
+/// answer asks another VM or the store.
+pub(super) fn retransmit(front: &Front, socket: &UdpSocket, peer: SocketAddr, revision: Revision) {
     let Some(news) = front.history.borrow().after(revision) else {
         if front.upstreams.revision() > revision {
             post(socket, &Datagram::NewsForgotten, peer);
