--- a/trouttrack_front/src/peers/history.rs
+++ b/trouttrack_front/src/peers/history.rs
@@ -1,21 +1,21 @@
-//! The changes of upstreams' entries that this VM has learned lately, for VMs that
-//! missed some.
+//! Bounded history of recent upstream entry changes, for retransmission to VMs that
+//! missed updates.
 //!
-//! News are told once, and a datagram may be lost. A VM that hears that it is behind
-//! asks a peer: the store is asked only if none answers. At 295 VMs, of whose engines
-//! a seventh is replaced every 3.3 s, a fifth of all calls to the store were for changes
-//! that the next VM had.
+//! Updates are sent once over UDP and may be lost. A VM that finds itself behind requests
+//! the missing changes from a peer, and queries the store only if no peer answers. Without
+//! this history, at 295 VMs with a seventh of their engines replaced every 3.3 s, a fifth
+//! of all store calls fetched changes that a peer already had.
 
 use super::message::{EntryChange, News};
 use std::collections::VecDeque;
 use trouttrack_core::membership::Revision;
 
-/// Changes that are kept, of some 0.2 kB each: those of twenty seconds in which two hundred
-/// upstreams a second change, as in a release of half a fleet of 20,000. With a hundred, one
-/// such second made every VM ask the store.
-const MOST_CHANGES: usize = 4096;
+/// Maximum number of retained changes, about 0.2 kB each. Covers 20 s at 200 changes per
+/// second, the rate of a release to half a fleet of 20,000 upstreams. With a limit of 100,
+/// one second at that rate made every VM query the store.
+const MAX_CHANGES: usize = 4096;
 
-/// News in the order in which they were learned, without gaps.
+/// Contiguous updates in the order in which they were received.
 ///
 /// # Examples
 ///
@@ -38,17 +38,17 @@
 }
 
 impl NewsHistory {
-    /// News were learned. If something is missing between these and the ones before,
-    /// those are of no use any more.
+    /// Appends an update. If there is a gap between it and the previous update, all earlier
+    /// updates are discarded, since the history must be contiguous.
     pub fn learned(&mut self, news: News) {
-        let follows = self.news.back().is_none_or(|last| last.to >= news.from);
-        if !follows {
+        let is_contiguous = self.news.back().is_none_or(|last| last.to >= news.from);
+        if !is_contiguous {
             self.news.clear();
             self.changes = 0;
         }
         self.changes += news.changes.len();
         self.news.push_back(news);
-        while self.changes > MOST_CHANGES {
+        while self.changes > MAX_CHANGES {
             let Some(oldest) = self.news.pop_front() else {
                 return;
             };
@@ -56,7 +56,8 @@
         }
     }
 
-    /// All that changed after a revision, if it is known here.
+    /// Returns all changes after `revision`, or `None` if the history does not cover it or
+    /// has nothing newer.
     #[must_use]
     pub fn after(&self, revision: Revision) -> Option<News> {
         let (first, last) = (self.news.front()?, self.news.back()?);
