--- a/trouttrack_front/src/peers/transfer/snapshot.rs
+++ b/trouttrack_front/src/peers/transfer/snapshot.rs
@@ -1,4 +1,4 @@
-//! All upstreams as one VM knows them.
+//! Snapshot of all upstreams known to one VM.
 
 use crate::state::{Upstream, Upstreams};
 use serde::{Deserialize, Serialize};
@@ -9,10 +9,10 @@
 use trouttrack_core::{FailureDomain, ServiceId, Time, UpstreamId};
 use trouttrack_platform::UpstreamEntry;
 
-/// The entries of all upstreams up to a revision of the store.
+/// The entries of all upstreams up to a store revision.
 ///
-/// The names that many entries share are spelled out once: 10,002 entries take some 45
-/// bytes each in place of 300 in the store's form.
+/// Service and failure domain names are interned: with 10,002 entries, each takes about 45
+/// bytes instead of 300 in the store's encoding.
 ///
 /// # Examples
 ///
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Snapshot {
     revision: Revision,
-    /// Whether upstreams here say when they started.
+    /// Whether upstreams report their start time.
     say_births: bool,
     services: Vec<ServiceId>,
     failure_domains: Vec<FailureDomain>,
@@ -50,16 +50,16 @@
 /// One upstream of a [`Snapshot`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Told {
-    /// Its id.
+    /// The upstream's id.
     pub id: UpstreamId,
-    /// What its entry says.
+    /// The decoded store entry.
     pub entry: UpstreamEntry,
-    /// Whether the entry disappeared around an outage of the store and may come back.
+    /// Whether the entry disappeared around a store outage and may reappear.
     pub lapsed: bool,
 }
 
 impl Snapshot {
-    /// What is known here now.
+    /// Captures the current state of `known`.
     #[must_use]
     pub fn of(known: &Upstreams) -> Self {
         let mut snapshot = Self {
@@ -67,12 +67,13 @@
             say_births: known.say_births(),
             ..Self::default()
         };
-        let (mut services, mut failure_domains) = (Names::default(), Names::default());
+        let (mut services, mut failure_domains) =
+            (NameInterner::default(), NameInterner::default());
         let now = known.now();
         known.for_each(|upstream, lapsed| {
-            let service = services.number(&upstream.service);
-            let failure_domain = failure_domains.number(&upstream.failure_domain);
-            let row = row(upstream, lapsed, now, service, failure_domain);
+            let service = services.intern(&upstream.service);
+            let failure_domain = failure_domains.intern(&upstream.failure_domain);
+            let row = encode_row(upstream, lapsed, now, service, failure_domain);
             snapshot.rows.push(row);
         });
         snapshot.services = services.in_order;
@@ -80,24 +81,25 @@
         snapshot
     }
 
-    /// The store's revision up to which the entries are known.
+    /// The store revision up to which the entries are known.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Whether upstreams here say when they started.
+    /// Whether upstreams report their start time.
     #[must_use]
     pub fn say_births(&self) -> bool {
         self.say_births
     }
 
-    /// The upstreams. One that names what the snapshot does not hold is left out.
+    /// Iterates over the upstreams, skipping rows with an out-of-range service or failure
+    /// domain index.
     pub fn entries(&self) -> impl Iterator<Item = Told> {
-        self.rows.iter().filter_map(|row| self.told(row))
+        self.rows.iter().filter_map(|row| self.resolve(row))
     }
 
-    fn told(&self, row: &Row) -> Option<Told> {
+    fn resolve(&self, row: &Row) -> Option<Told> {
         let service = self.services.get(row.service as usize)?;
         let failure_domain = self.failure_domains.get(row.failure_domain as usize)?;
         Some(Told {
@@ -116,7 +118,13 @@
     }
 }
 
-fn row(upstream: &Upstream, lapsed: bool, now: Time, service: u32, failure_domain: u32) -> Row {
+fn encode_row(
+    upstream: &Upstream,
+    lapsed: bool,
+    now: Time,
+    service: u32,
+    failure_domain: u32,
+) -> Row {
     Row {
         id: upstream.id.clone(),
         addr: upstream.addr,
@@ -130,21 +138,21 @@
     }
 }
 
-/// Names, numbered as they come.
+/// Interns names, assigning indices in order of first use.
 #[derive(Debug, Default)]
-struct Names {
-    numbers: HashMap<String, u32>,
+struct NameInterner {
+    indices: HashMap<String, u32>,
     in_order: Vec<String>,
 }
 
-impl Names {
-    fn number(&mut self, name: &str) -> u32 {
-        if let Some(number) = self.numbers.get(name) {
-            return *number;
+impl NameInterner {
+    fn intern(&mut self, name: &str) -> u32 {
+        if let Some(index) = self.indices.get(name) {
+            return *index;
         }
-        let number = self.in_order.len() as u32;
-        self.numbers.insert(name.to_owned(), number);
+        let index = self.in_order.len() as u32;
+        self.indices.insert(name.to_owned(), index);
         self.in_order.push(name.to_owned());
-        number
+        index
     }
 }
