--- a/trouttrack_front/src/peers/transfer/serve.rs
+++ b/trouttrack_front/src/peers/transfer/serve.rs
@@ -1,4 +1,4 @@
-//! Answering VMs that ask for the upstreams or the configuration.
+//! HTTP endpoint that serves upstream snapshots and the configuration to other VMs.
 
 use super::snapshot::Snapshot;
 use crate::page::serve_page;
@@ -19,17 +19,17 @@
 use trouttrack_core::membership::{ANSWERED_AT_ONCE, Revision};
 use trouttrack_core::{ConfigVersion, Time};
 
-/// How long an encoded snapshot is used again: for how long upstreams are cold is told as
-/// of its making.
-const KEPT: Duration = Duration::from_millis(500);
-/// Bytes that are given to a connection at once: what waits in it is little.
-const PIECE: usize = 16 << 10;
+/// How long an encoded snapshot is reused. Bounds the error of the remaining cold times,
+/// which are relative to the time of encoding.
+const SNAPSHOT_TTL: Duration = Duration::from_millis(500);
+/// Size of a body chunk, which bounds the data buffered per connection.
+const CHUNK_BYTES: usize = 16 << 10;
 
-/// Answers other VMs for as long as the process runs.
+/// Serves requests from other VMs for as long as the process runs.
 ///
 /// # Errors
 ///
-/// The service cannot be made.
+/// Returns an error if the HTTP service cannot be created.
 pub(crate) async fn serve(front: Rc<Front>, listener: TcpListener) -> io::Result<()> {
     let server = Rc::new(Server::new(front));
     serve_page(listener, move |req| server.answer(req)).await
@@ -37,9 +37,9 @@
 
 struct Server {
     front: Rc<Front>,
-    /// Answers that are on their way.
+    /// Number of responses being sent.
     sending: Rc<Cell<usize>>,
-    /// The last snapshot, and when it was made.
+    /// The last encoded snapshot, with its creation time and revision.
     snapshot: RefCell<Option<(Time, Revision, Bytes)>>,
 }
 
@@ -52,26 +52,26 @@
         }
     }
 
-    /// Answers `/upstreams/REVISION` and `/config/VERSION` with what is newer here.
-    fn answer(&self, req: &Request) -> Response<Piecewise> {
+    /// Answers `/upstreams/REVISION` and `/config/VERSION` if this VM has newer data.
+    fn answer(&self, req: &Request) -> Response<TransferBody> {
         let mut parts = req.path().trim_start_matches('/').split('/');
         let kind = parts.next();
         let known = parts.next();
         let (Some(kind), Some(known)) = (kind, known) else {
-            return refuse(StatusCode::NOT_FOUND);
+            return empty_response(StatusCode::NOT_FOUND);
         };
         if self.sending.get() >= ANSWERED_AT_ONCE {
-            return refuse(StatusCode::SERVICE_UNAVAILABLE);
+            return empty_response(StatusCode::SERVICE_UNAVAILABLE);
         }
         let bytes = match kind {
             "upstreams" => known.parse().map(|known| self.upstreams(known)),
             "config" => known.parse().map(|known| self.config(known)),
-            _ => return refuse(StatusCode::NOT_FOUND),
+            _ => return empty_response(StatusCode::NOT_FOUND),
         };
         match bytes {
-            Ok(Some(bytes)) => Response::ok().set_body(Piecewise::new(bytes, &self.sending)),
-            Ok(None) => refuse(StatusCode::NO_CONTENT),
-            Err(_) => refuse(StatusCode::NOT_FOUND),
+            Ok(Some(bytes)) => Response::ok().set_body(TransferBody::new(bytes, &self.sending)),
+            Ok(None) => empty_response(StatusCode::NO_CONTENT),
+            Err(_) => empty_response(StatusCode::NOT_FOUND),
         }
     }
 
@@ -81,15 +81,15 @@
             return None;
         }
         let now = self.front.clock.now();
-        let mut kept = self.snapshot.borrow_mut();
-        if let Some((made_at, revision, bytes)) = &*kept
-            && now.saturating_sub(*made_at) < KEPT
+        let mut cached = self.snapshot.borrow_mut();
+        if let Some((made_at, revision, bytes)) = &*cached
+            && now.saturating_sub(*made_at) < SNAPSHOT_TTL
             && *revision > known
         {
             return Some(bytes.clone());
         }
         let bytes = encode(&Snapshot::of(upstreams))?;
-        *kept = Some((now, upstreams.revision(), bytes.clone()));
+        *cached = Some((now, upstreams.revision(), bytes.clone()));
         Some(bytes)
     }
 
@@ -102,52 +102,52 @@
     }
 }
 
-fn encode(told: &impl Serialize) -> Option<Bytes> {
-    postcard::to_extend(told, Vec::new())
-        .inspect_err(|e| log::error!("an answer to a peer cannot be encoded: {e}"))
+fn encode(payload: &impl Serialize) -> Option<Bytes> {
+    postcard::to_extend(payload, Vec::new())
+        .inspect_err(|e| log::error!("failed to encode a response to a peer: {e}"))
         .ok()
         .map(Bytes::from)
 }
 
-fn refuse(status: StatusCode) -> Response<Piecewise> {
-    Response::new(status).set_body(Piecewise::default())
+fn empty_response(status: StatusCode) -> Response<TransferBody> {
+    Response::new(status).set_body(TransferBody::default())
 }
 
-/// A body that is given out piece by piece, and counts as being sent until it is.
+/// Response body sent in chunks, counted in `sending` until it is dropped.
 #[derive(Default)]
-struct Piecewise {
-    left: Bytes,
+struct TransferBody {
+    remaining: Bytes,
     sending: Option<Rc<Cell<usize>>>,
 }
 
-impl Piecewise {
-    fn new(left: Bytes, sending: &Rc<Cell<usize>>) -> Self {
+impl TransferBody {
+    fn new(remaining: Bytes, sending: &Rc<Cell<usize>>) -> Self {
         sending.set(sending.get() + 1);
         Self {
-            left,
+            remaining,
             sending: Some(Rc::clone(sending)),
         }
     }
 }
 
-impl MessageBody for Piecewise {
+impl MessageBody for TransferBody {
     type Error = Infallible;
 
     fn size(&self) -> BodySize {
-        BodySize::Sized(self.left.len() as u64)
+        BodySize::Sized(self.remaining.len() as u64)
     }
 
     fn poll_next(
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, Infallible>>> {
-        let most = self.left.len().min(PIECE);
-        let piece = self.left.split_to(most);
-        Poll::Ready((!piece.is_empty()).then_some(Ok(piece)))
+        let length = self.remaining.len().min(CHUNK_BYTES);
+        let chunk = self.remaining.split_to(length);
+        Poll::Ready((!chunk.is_empty()).then_some(Ok(chunk)))
     }
 }
 
-impl Drop for Piecewise {
+impl Drop for TransferBody {
     fn drop(&mut self) {
         if let Some(sending) = &self.sending {
             sending.set(sending.get() - 1);
