--- a/trouttrack_front/src/peers/mod.rs
+++ b/trouttrack_front/src/peers/mod.rs
@@ -1,23 +1,22 @@
-//! What the VMs tell each other, over UDP.
+//! State exchange between VMs over UDP.
 //!
-//! Each call to the platform's store is paid for, so what one VM learns there
-//! it tells the others:
+//! Calls to the platform's store are billed, so a VM shares what it reads there with its
+//! peers:
 //!
-//! - A heartbeat says which upstreams its sender uses and how much, which
-//!   configuration it has and how long ago that was confirmed. It is whole each
-//!   time, so a lost datagram costs nothing but age.
-//! - The use of upstreams is also told by itself as it changes, to all VMs of the
-//!   failure domain; others hear the sum over a failure domain ([`heartbeat`]).
-//! - News carry changes of upstreams' entries, from the few VMs that watch the
-//!   store to all others, as they happen. Whoever misses some notices by the
-//!   revision in the next heartbeat and asks a VM that knows it, or at last the store.
-//!
-//! - A configuration is asked of a VM that has it ([`config`]), and so is a confirmation
+//! - A heartbeat carries the sender's usage of each upstream, its configuration version and
+//!   the time since that version was confirmed. Every heartbeat holds the full state, so a
+//!   lost datagram only makes the receiver's view older.
+//! - Changes in upstream usage are also sent as they occur to all VMs of the failure domain;
+//!   other failure domains receive the sum over the domain ([`heartbeat`]).
+//! - [`News`] carries upstream entry changes as they happen, from the few VMs that watch the
+//!   store to all others. A VM that misses an update detects this from the revision in the
+//!   next heartbeat and asks a VM that has it, or the store as a last resort.
+//! - A configuration is requested from a VM that has it ([`config`]), as is a confirmation
 //!   that it is current ([`confirm`]).
-//! - A VM that starts takes all upstreams from one that knows them ([`transfer`]).
+//! - A starting VM fetches all upstreams from a peer that has them ([`transfer`]).
 //!
-//! `tarpc` does not fit here: it would keep a connection for each pair of VMs
-//! and wait for answers that nobody needs.
+//! `tarpc` is not used: it would keep a connection for each pair of VMs and wait for
+//! responses that are not needed.
 
 mod catch_up;
 mod config;
