--- a/trouttrack_front/tests/front/large_fleet.rs
+++ b/trouttrack_front/tests/front/large_fleet.rs
@@ -1,5 +1,6 @@
-//! What is too much for the store, or for a datagram, in a fleet of hundreds of VMs: what
-//! a VM takes from another one. The figures of such a fleet are put in where they decide.
+//! Tests for data that VMs of a large fleet fetch from peers because the load would be too
+//! high for the store, or the payload too large for a datagram. The tests run a small fleet
+//! and use the sizes of a fleet of hundreds of VMs only where they affect the result.
 
 use crate::support::{KEY, PLAIN, config, route, settings, until};
 use std::collections::BTreeSet;
@@ -13,28 +14,28 @@
 use trouttrack_platform::UpstreamEntry;
 use trouttrack_platform_standin::{Store, Upstream};
 
-/// VMs of one failure domain: four times as many as list at once.
+/// VMs in one failure domain: four times the number that list concurrently.
 const VMS: usize = 12;
-/// Entries; the store gives out two at a time.
+/// Upstream entries; the store returns two per page.
 const UPSTREAMS: usize = 24;
-/// Pages of the whole list.
-const PAGES: u64 = 12;
-/// VMs that the store lists besides and that are gone: with them a VM is drawn to list
-/// once in a hundred times.
-const GONE: usize = 300;
-/// Routes of a configuration that no datagram holds: some 60 kB.
-const MANY_ROUTES: usize = 400;
+/// Pages in a full upstream list.
+const FULL_LIST_PAGES: u64 = 12;
+/// VMs that are still registered in the store but no longer running. They lower the
+/// probability that a VM is selected to list to 1 in 100.
+const STALE_VMS: usize = 300;
+/// Number of routes that makes a configuration (about 60 kB) too large for a datagram.
+const LARGE_CONFIG_ROUTES: usize = 400;
 
-/// Lists VMs that are gone besides.
-fn list_those_gone(store: &Store) {
-    for i in 0..GONE {
-        let nobody = "127.0.0.1:9".parse().expect("an address");
-        store.put_vm(&format!("gone-{i}"), nobody, "a");
+/// Registers VMs that are no longer running.
+fn register_stale_vms(store: &Store) {
+    for i in 0..STALE_VMS {
+        let unreachable = "127.0.0.1:9".parse().expect("valid socket address");
+        store.put_vm(&format!("gone-{i}"), unreachable, "a");
     }
 }
 
-/// A store that lists upstreams on several pages.
-async fn store() -> (Store, Vec<Upstream>) {
+/// Starts a store whose upstream list spans several pages.
+async fn start_store() -> (Store, Vec<Upstream>) {
     let store = Store::start().await;
     store.put_config(&config(1));
     let mut upstreams = Vec::new();
@@ -46,24 +47,24 @@
     (store, upstreams)
 }
 
-async fn vm(store: &Store, number: usize, more: &str) -> Running {
-    let settings = settings(store, &format!("front-{number}"), more);
-    start(&settings).await.expect("a front")
+async fn start_vm(store: &Store, number: usize, extra_settings: &str) -> Running {
+    let settings = settings(store, &format!("front-{number}"), extra_settings);
+    start(&settings).await.expect("front should start")
 }
 
-async fn fleet(store: &Store, more: &str) -> Vec<Running> {
+async fn start_fleet(store: &Store, extra_settings: &str) -> Vec<Running> {
     let mut fleet = Vec::new();
     for number in 0..VMS {
-        fleet.push(vm(store, number, more).await);
+        fleet.push(start_vm(store, number, extra_settings).await);
     }
-    until("all are ready", || {
+    until("all VMs are ready", || {
         fleet.iter().all(|f| f.front.lifecycle.is_ready())
     })
     .await;
     fleet
 }
 
-fn known(vm: &Running) -> BTreeSet<String> {
+fn known_upstream_ids(vm: &Running) -> BTreeSet<String> {
     let mut ids = BTreeSet::new();
     vm.front.upstreams.for_each(|u, _| {
         ids.insert(u.id.clone());
@@ -72,25 +73,25 @@
 }
 
 #[actix_rt::test]
-async fn of_vms_that_start_together_not_all_list_what_has_many_pages() {
-    let (store, upstreams) = store().await;
-    let fleet = fleet(&store, "").await;
-    let all: BTreeSet<String> = upstreams.iter().map(|u| u.id.clone()).collect();
+async fn vms_starting_together_do_not_all_list_upstreams() {
+    let (store, upstreams) = start_store().await;
+    let fleet = start_fleet(&store, "").await;
+    let all_ids: BTreeSet<String> = upstreams.iter().map(|u| u.id.clone()).collect();
     for vm in &fleet {
-        assert_eq!(known(vm), all);
+        assert_eq!(known_upstream_ids(vm), all_ids);
     }
-    // That all are drawn to list happens once in ten million times.
-    assert!(store.upstream_pages() < VMS as u64 * PAGES);
+    // The probability that every VM is selected to list is 1 in 10 million.
+    assert!(store.upstream_pages() < VMS as u64 * FULL_LIST_PAGES);
 }
 
 #[actix_rt::test]
-async fn vms_that_took_the_list_from_others_follow_its_changes() {
-    let (store, upstreams) = store().await;
-    let fleet = fleet(&store, "").await;
+async fn vms_with_upstream_list_from_peers_receive_changes() {
+    let (store, upstreams) = start_store().await;
+    let fleet = start_fleet(&store, "").await;
     store.remove_upstream(&upstreams[3].id);
     store.put_upstream(&upstreams[5], true);
     for vm in &fleet {
-        until("one is gone and one leaves", || {
+        until("u03 is removed and u05 is leaving", || {
             let upstreams = &vm.front.upstreams;
             upstreams.get("u03").is_none() && upstreams.get("u05").is_some_and(|u| u.is_leaving())
         })
@@ -99,15 +100,15 @@
 }
 
 #[actix_rt::test]
-async fn a_watcher_lists_by_itself_at_the_start_and_when_its_history_is_gone() {
-    let (store, upstreams) = store().await;
-    list_those_gone(&store);
-    let fleet = fleet(&store, "").await;
+async fn watcher_always_lists_at_start_and_after_history_loss() {
+    let (store, upstreams) = start_store().await;
+    register_stale_vms(&store);
+    let fleet = start_fleet(&store, "").await;
     for leaving in upstreams.iter().take(4) {
         store.forget_history();
         store.put_upstream(leaving, true);
         for vm in &fleet {
-            until("it leaves", || {
+            until("the upstream is leaving", || {
                 let upstream = vm.front.upstreams.get(&leaving.id);
                 upstream.is_some_and(|u| u.is_leaving())
             })
@@ -117,27 +118,27 @@
 }
 
 #[actix_rt::test]
-async fn of_vms_that_start_together_few_call_the_store_to_confirm() {
+async fn few_vms_starting_together_call_store_to_confirm_config() {
     let store = Store::start().await;
     store.put_config(&config(1));
-    list_those_gone(&store);
-    let fleet = fleet(&store, "").await;
-    until("all are confirmed", || {
+    register_stale_vms(&store);
+    let fleet = start_fleet(&store, "").await;
+    until("all VMs have a confirmed configuration", || {
         fleet.iter().all(|f| f.front.routing.is_fresh())
     })
     .await;
-    // Each VM lists it once to know it.
+    // Each VM lists the configuration once to load it.
     let calls = store.config_lists();
-    assert!(calls < 2 * VMS as u64, "{calls} calls");
+    assert!(calls < 2 * VMS as u64, "{calls} configuration list calls");
 }
 
 // Guards against every VM listing all upstreams after a store restore, against missing a departure
 // that is written right after it, and against undoing a departure that the restore has lost.
 #[actix_rt::test]
-async fn after_a_restore_all_vms_see_a_departure_and_few_list_upstreams() {
-    let (store, upstreams) = store().await;
-    list_those_gone(&store);
-    let fleet = fleet(&store, "").await;
+async fn after_store_restore_all_vms_see_departure_and_few_list_upstreams() {
+    let (store, upstreams) = start_store().await;
+    register_stale_vms(&store);
+    let fleet = start_fleet(&store, "").await;
     let is_leaving = |vm: &Running, id: &str| {
         let upstream = vm.front.upstreams.get(id);
         upstream.is_some_and(|u| u.is_leaving())
@@ -157,11 +158,14 @@
     .await;
     assert!(fleet.iter().all(|vm| is_leaving(vm, "u03")));
     let pages = store.upstream_pages() - pages_before;
-    assert!(pages < VMS as u64 * PAGES / 2, "{pages} pages");
+    assert!(
+        pages < VMS as u64 * FULL_LIST_PAGES / 2,
+        "{pages} upstream pages listed"
+    );
 }
 
 #[test]
-fn while_the_number_of_vms_is_not_known_nobody_retries() {
+fn no_retries_while_vm_count_is_unknown() {
     let settings = RetrySettings {
         ratio: 0.2,
         extra: 20.0,
@@ -174,75 +178,85 @@
     assert!(budgets.try_retry(later, PLAIN));
 }
 
-/// A configuration that is too large for a datagram.
-fn large(version: u64) -> FleetConfig {
-    let mut large = config(version);
+/// Returns a configuration that is too large for a datagram.
+fn large_config(version: u64) -> FleetConfig {
+    let mut large_config = config(version);
     let plain = RouteKind::Plain { repeatable: true };
-    let more = (0..MANY_ROUTES).map(|i| route(&format!("idle-{i}"), PLAIN, plain, 2));
-    large.routes.extend(more);
-    large
+    let extra_routes =
+        (0..LARGE_CONFIG_ROUTES).map(|i| route(&format!("idle-{i}"), PLAIN, plain, 2));
+    large_config.routes.extend(extra_routes);
+    large_config
 }
 
 #[actix_rt::test]
-async fn a_configuration_that_no_datagram_holds_passes_from_vm_to_vm() {
+async fn config_too_large_for_datagram_is_fetched_from_peers() {
     let store = Store::start().await;
-    store.put_config(&large(1));
-    // Nothing else makes a VM call the store meanwhile.
-    let fleet = fleet(&store, "[bounds]\nrevoke = 600s\nconfig_apply = 300s\n").await;
-    until("one watches", || {
+    store.put_config(&large_config(1));
+    // The long bounds keep VMs from calling the store for any other reason during the test.
+    let fleet = start_fleet(&store, "[bounds]\nrevoke = 600s\nconfig_apply = 300s\n").await;
+    until("exactly one VM watches the store", || {
         let watching = fleet.iter().filter(|f| watches_store(&f.front));
         watching.count() == 1
     })
     .await;
-    let mut without_a_call = 0;
+    let mut updates_without_calls = 0;
     for version in 2..5 {
         let before: Vec<u64> = fleet.iter().map(|f| f.front.store.calls()).collect();
-        store.put_config(&large(version));
+        store.put_config(&large_config(version));
         for vm in &fleet {
-            until("the version is in force", || {
+            until("the configuration version is in force", || {
                 vm.front.routing.version() == version
             })
             .await;
         }
         let calls = fleet.iter().map(|f| f.front.store.calls());
-        without_a_call += calls
+        updates_without_calls += calls
             .zip(before)
             .filter(|(now, before)| now == before)
             .count();
     }
-    // The watch may change hands meanwhile, so that a few make calls.
-    assert!(without_a_call > VMS, "{without_a_call}");
+    // The watch may move to another VM during the test, so a few VMs may call the store.
+    assert!(
+        updates_without_calls > VMS,
+        "only {updates_without_calls} updates without a store call"
+    );
 }
 
 #[actix_rt::test]
-async fn a_configuration_that_says_nothing_new_of_services_makes_no_rows() {
-    let (store, _upstreams) = store().await;
-    let vm = vm(&store, 1, "").await;
-    until("it is ready", || vm.front.lifecycle.is_ready()).await;
-    let made = vm.front.metrics.rows_made.get();
-    let in_force = async |config: FleetConfig| {
+async fn config_without_service_changes_creates_no_rows() {
+    let (store, _upstreams) = start_store().await;
+    let vm = start_vm(&store, 1, "").await;
+    until("the VM is ready", || vm.front.lifecycle.is_ready()).await;
+    let rows_before = vm.front.metrics.rows_made.get();
+    let apply_config = async |config: FleetConfig| {
         let version = config.version;
         store.put_config(&config);
-        until("it is in force", || vm.front.routing.version() == version).await;
+        until("the configuration is in force", || {
+            vm.front.routing.version() == version
+        })
+        .await;
     };
     for version in 2..5 {
-        in_force(large(version)).await;
+        apply_config(large_config(version)).await;
     }
-    assert_eq!(vm.front.metrics.rows_made.get(), made);
-    let mut colder = config(5);
-    colder.services[0].cold_rate = 3.0;
-    in_force(colder).await;
-    assert_eq!(vm.front.metrics.rows_made.get(), made + UPSTREAMS as u64);
+    assert_eq!(vm.front.metrics.rows_made.get(), rows_before);
+    let mut changed_cold_rate = config(5);
+    changed_cold_rate.services[0].cold_rate = 3.0;
+    apply_config(changed_cold_rate).await;
+    assert_eq!(
+        vm.front.metrics.rows_made.get(),
+        rows_before + UPSTREAMS as u64
+    );
 }
 
-fn at(number: u64) -> Revision {
+fn revision(number: u64) -> Revision {
     Revision::new(0, number)
 }
 
 fn entry(leaving: bool, born: u64) -> UpstreamEntry {
     UpstreamEntry {
         service: PLAIN.to_owned(),
-        addr: "10.0.0.9:8080".parse().expect("an address"),
+        addr: "10.0.0.9:8080".parse().expect("valid socket address"),
         failure_domain: "a".to_owned(),
         slots: 6,
         cold_for: Duration::ZERO,
@@ -252,31 +266,31 @@
 }
 
 #[test]
-fn a_snapshot_says_what_its_vm_knows() {
-    let known = Upstreams::new(Clock::start());
-    known.set_say_births();
-    known.seen("stays", at(3), entry(false, 100));
-    known.seen("leaves", at(4), entry(true, 200));
-    known.seen("lapsed", at(5), entry(false, 300));
-    known.store_lost();
-    assert!(known.removed("lapsed").is_none());
-    known.advance(at(6));
+fn snapshot_contains_known_and_lapsed_upstreams() {
+    let upstreams = Upstreams::new(Clock::start());
+    upstreams.set_say_births();
+    upstreams.seen("stays", revision(3), entry(false, 100));
+    upstreams.seen("leaves", revision(4), entry(true, 200));
+    upstreams.seen("lapsed", revision(5), entry(false, 300));
+    upstreams.store_lost();
+    assert!(upstreams.removed("lapsed").is_none());
+    upstreams.advance(revision(6));
 
-    let snapshot = Snapshot::of(&known);
-    assert_eq!(snapshot.revision(), at(6));
+    let snapshot = Snapshot::of(&upstreams);
+    assert_eq!(snapshot.revision(), revision(6));
     assert!(snapshot.say_births());
-    let mut told: Vec<_> = snapshot.entries().collect();
-    told.sort_by(|a, b| a.id.cmp(&b.id));
-    let ids: Vec<(&str, bool)> = told.iter().map(|t| (t.id.as_str(), t.lapsed)).collect();
+    let mut reported: Vec<_> = snapshot.entries().collect();
+    reported.sort_by(|a, b| a.id.cmp(&b.id));
+    let ids: Vec<(&str, bool)> = reported.iter().map(|t| (t.id.as_str(), t.lapsed)).collect();
     assert_eq!(ids, [("lapsed", true), ("leaves", false), ("stays", false)]);
-    assert_eq!(told[1].entry, entry(true, 200));
-    assert_eq!(told[2].entry, entry(false, 100));
+    assert_eq!(reported[1].entry, entry(true, 200));
+    assert_eq!(reported[2].entry, entry(false, 100));
 }
 
 #[test]
-fn news_in_parts_are_all_there_and_each_follows_the_one_before() {
-    // A change that bears an older revision than the one before it is not cut off from it.
-    let revisions = [11, 12, 15, 14, 16, 17, 13, 20, 21, 22, 22, 30].map(at);
+fn split_news_is_complete_and_contiguous() {
+    // A change with an older revision than its predecessor must stay in the same part.
+    let revisions = [11, 12, 15, 14, 16, 17, 13, 20, 21, 22, 22, 30].map(revision);
     let changes: Vec<EntryChange> = revisions
         .into_iter()
         .map(|revision| EntryChange {
@@ -285,19 +299,22 @@
             entry: EntryState::Gone,
         })
         .collect();
-    for most in 1..=revisions.len() {
+    for max_changes in 1..=revisions.len() {
         let news = News {
-            from: at(10),
-            to: at(40),
+            from: revision(10),
+            to: revision(40),
             changes: changes.clone(),
         };
-        let parts = news.in_parts(most);
-        let told = parts.iter().flat_map(|part| &part.changes);
-        assert!(told.map(|c| c.revision).eq(revisions));
-        assert_eq!((parts[0].from, parts[parts.len() - 1].to), (at(10), at(40)));
+        let parts = news.in_parts(max_changes);
+        let reported = parts.iter().flat_map(|part| &part.changes);
+        assert!(reported.map(|c| c.revision).eq(revisions));
+        assert_eq!(
+            (parts[0].from, parts[parts.len() - 1].to),
+            (revision(10), revision(40))
+        );
         for pair in parts.windows(2) {
             assert_eq!(pair[0].to, pair[1].from);
-            // Whoever has only the first part is told the second again.
+            // A receiver that has only the first part must be sent the second part again.
             assert!(pair[0].changes.iter().all(|c| c.revision <= pair[0].to));
             assert!(pair[1].changes.iter().all(|c| c.revision > pair[0].to));
         }
